--- a/src/admit/admit_test.go
+++ b/src/admit/admit_test.go
@@ -68,7 +68,7 @@
 		for round := range 3000 {
 			for c, w := range weights { // all ask for as much, more than there is
 				name := fmt.Sprint(c)
-				if q.Ahead(name, w, 0) < allowed {
+				if q.CostAhead(name, w, 0) < allowed {
 					q.Push(&Entry{Customer: name, Weight: w, Cost: 1})
 				}
 			}
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	l := NewLimiter("a")
 	at := time.Unix(100, 0)
-	l.Heard(Demand{"b", "c", 0, at})
+	l.MergeDemand(Demand{"b", "c", 0, at})
 	for i := range 1000 {
 		l.Allow("c", 10, 2, at.Add(time.Duration(10*i)*time.Millisecond))
 		if i == 10 {
@@ -147,8 +147,8 @@
 	}
 	at = at.Add(10 * time.Second)
 	is.True(l.share("c", 10, 2, at) > 8) // nobody else asks
-	l.Heard(Demand{"b", "c", 100000, at.Add(time.Second)})
-	l.Heard(Demand{"b", "c", 0, at}) // late news change nothing
+	l.MergeDemand(Demand{"b", "c", 100000, at.Add(time.Second)})
+	l.MergeDemand(Demand{"b", "c", 0, at}) // late news change nothing
 	for i := range 10 {
 		l.share("c", 10, 2, at.Add(time.Duration(i)*time.Second))
 	}
@@ -163,7 +163,7 @@
 	l := NewLimiter("self")
 	l.SetLive([]string{"self", "a", "b"})
 	for _, node := range []string{"a", "b"} {
-		l.Heard(Demand{Node: node, Customer: "c", Rate: 100, At: now})
+		l.MergeDemand(Demand{Node: node, Customer: "c", Rate: 100, At: now})
 	}
 	allowed := 0
 	for i := range steps {
--- a/src/admit/limit.go
+++ b/src/admit/limit.go
@@ -164,7 +164,7 @@
 }
 
 // Own returns this node's readings.
-func (l *Limiter) Own(now time.Time) []Demand {
+func (l *Limiter) LocalDemand(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Demand
@@ -177,7 +177,7 @@
 }
 
 // Heard takes in another node's reading; an older one is dropped.
-func (l *Limiter) Heard(d Demand) {
+func (l *Limiter) MergeDemand(d Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.heard[d.Customer]
--- a/src/admit/queue.go
+++ b/src/admit/queue.go
@@ -14,13 +14,13 @@
 
 // Entry is one waiting request.
 type Entry struct {
-	Customer string
-	Weight   int // share of the customer, at least 1
-	Priority int
-	Cost     float64 // any unit, the same for all
-	Bytes    int
-	Since    time.Time
-	Value    any
+	Customer   string
+	Weight     int // share of the customer, at least 1
+	Priority   int
+	Cost       float64 // any unit, the same for all
+	Bytes      int
+	EnqueuedAt time.Time
+	Value      any
 
 	finish float64 // virtual time at which it would end under fair sharing
 	seq    int64
@@ -52,12 +52,12 @@
 	if q.count >= q.maxEntries || q.bytes+e.Bytes > q.maxBytes {
 		return false
 	}
-	q.Force(e)
+	q.PushUnbounded(e)
 	return true
 }
 
 // Most is the highest priority that waits; -1 when nothing does.
-func (q *Queue) Most() int {
+func (q *Queue) HighestPriority() int {
 	most := -1
 	for _, l := range q.waiting {
 		for el := l.Front(); el != nil; el = el.Next() {
@@ -68,7 +68,7 @@
 }
 
 // Force adds an entry whatever the bounds: work that has begun and must not be lost.
-func (q *Queue) Force(e *Entry) {
+func (q *Queue) PushUnbounded(e *Entry) {
 	q.seq++
 	e.seq = q.seq
 	start := max(q.virtual, q.last[e.Customer])
@@ -100,7 +100,7 @@
 }
 
 // PopUrgent takes the entry of the highest priority whatever the turn, or nil.
-func (q *Queue) PopUrgent() *Entry {
+func (q *Queue) PopHighestPriority() *Entry {
 	bestList, best := q.find(moreUrgent)
 	if best == nil {
 		return nil
@@ -173,7 +173,7 @@
 // starts: all of higher priority, and of its own priority what its fair share
 // lets go first. A customer below its share is not kept out by another's
 // backlog, and one above it learns how long its own is.
-func (q *Queue) Ahead(customer string, weight, priority int) float64 {
+func (q *Queue) CostAhead(customer string, weight, priority int) float64 {
 	higher, equal, own := 0.0, 0.0, 0.0
 	weights := float64(max(weight, 1))
 	for name, l := range q.waiting {
--- a/src/admit/shared.go
+++ b/src/admit/shared.go
@@ -99,7 +99,7 @@
 
 // SetNodes tells among how many nodes a rate is shared, this one included,
 // and which of the others still count.
-func (l *SharedLimiter) SetNodes(others []string) {
+func (l *SharedLimiter) SetPeers(others []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes, l.summed = len(others)+1, false
@@ -108,7 +108,7 @@
 
 // SetSum tells that all others, so many, are told of as one sum by a source.
 // What they admitted while the source changes is not charged.
-func (l *SharedLimiter) SetSum(source string, others int) {
+func (l *SharedLimiter) SetAggregate(source string, others int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes, l.summed = others+1, true
@@ -134,7 +134,7 @@
 }
 
 // Heard takes in a node's running sums.
-func (l *SharedLimiter) Heard(node string, incarnation int64, totals map[string]float64, now time.Time) {
+func (l *SharedLimiter) MergeTotals(node string, incarnation int64, totals map[string]float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	peer := l.peers[node]
@@ -215,7 +215,7 @@
 
 // Urgent tells whether this node has admitted so much of a customer's rate (a
 // second) since it last told its sums that the others should hear of it soon.
-func (l *SharedLimiter) Urgent(customer string, rate float64) bool {
+func (l *SharedLimiter) NeedsReport(customer string, rate float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bucket := l.buckets[customer]
--- a/src/admit/shared_test.go
+++ b/src/admit/shared_test.go
@@ -65,7 +65,7 @@
 	limiters := make([]*SharedLimiter, nodes)
 	for i := range limiters {
 		limiters[i] = NewSharedLimiter(now, over)
-		limiters[i].SetNodes(othersOf(i, nodes))
+		limiters[i].SetPeers(othersOf(i, nodes))
 	}
 	return limiters
 }
@@ -84,7 +84,7 @@
 	for i, from := range limiters {
 		for j, to := range limiters {
 			if i != j && i != cut && j != cut {
-				to.Heard(fmt.Sprint(i), 1, from.Totals(), now)
+				to.MergeTotals(fmt.Sprint(i), 1, from.Totals(), now)
 			}
 		}
 	}
@@ -166,11 +166,11 @@
 func TestABurstAtOneNodeIsNotTakenForABurstAtAll(t *testing.T) {
 	is := is.New(t)
 	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
-	l.SetNodes(othersOf(0, 9))
+	l.SetPeers(othersOf(0, 9))
 	for at := range 40 {
 		now := sharedStart.Add(time.Duration(at) * 100 * time.Millisecond)
 		for node := 1; node < 9; node++ {
-			l.Heard(fmt.Sprint(node), 1, map[string]float64{"c": 0}, now)
+			l.MergeTotals(fmt.Sprint(node), 1, map[string]float64{"c": 0}, now)
 		}
 	}
 	now := sharedStart.Add(4 * time.Second)
@@ -198,7 +198,7 @@
 		limiters := make([]*SharedLimiter, nodes)
 		for i := range limiters {
 			limiters[i] = NewSharedLimiter(sharedStart, over)
-			limiters[i].SetSum("hub", nodes-1)
+			limiters[i].SetAggregate("hub", nodes-1)
 		}
 		admitted := make([]float64, steps)
 		var sums []float64
@@ -239,14 +239,14 @@
 
 func tellSums(limiters []*SharedLimiter, sums []float64, now time.Time) {
 	for i, sum := range sums {
-		limiters[i].Heard("hub", 1, map[string]float64{"c": sum}, now)
+		limiters[i].MergeTotals("hub", 1, map[string]float64{"c": sum}, now)
 	}
 }
 
 func TestANodeThatBeginsAdmitsAtOnce(t *testing.T) {
 	is := is.New(t)
 	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
-	l.SetNodes(othersOf(0, 9)) // none of them heard yet
+	l.SetPeers(othersOf(0, 9)) // none of them heard yet
 	ok, _ := l.Take("c", 50, 1, 1000, 1000, sharedStart.Add(10*time.Millisecond))
 	is.True(ok)
 }
--- a/src/caller/ask.go
+++ b/src/caller/ask.go
@@ -27,13 +27,13 @@
 }
 
 // ask gathers what the headers say; it has answered when ok is false.
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, cust catalog.Resource, body []byte, repeatable bool) (a serve.Ask, ok bool) {
+func (s *Server) ask(w http.ResponseWriter, r *http.Request, cust catalog.Resource, body []byte, repeatable bool) (a serve.Request, ok bool) {
 	now := s.coord.Now()
-	a = serve.Ask{Customer: cust.Name, Target: s.coord.Catalog().TargetOf(cust, now), Repeatable: repeatable}
+	a = serve.Request{Customer: cust.Name, Target: s.coord.Catalog().TargetOf(cust, now), Repeatable: repeatable}
 	a.Key = r.Header.Get(headerKey)
-	a.Given = a.Key != ""
-	a.Fresh = !a.Given || r.Header.Get(headerAttempt) == "1" || r.Header.Get(headerRetryCount) == "0"
-	if !a.Given {
+	a.KeyProvided = a.Key != ""
+	a.FirstUse = !a.KeyProvided || r.Header.Get(headerAttempt) == "1" || r.Header.Get(headerRetryCount) == "0"
+	if !a.KeyProvided {
 		a.Key = request.IssueKey(now)
 	}
 	if err := request.CheckKey(a.Key); err != nil {
@@ -56,7 +56,7 @@
 			refuse(w, http.StatusBadRequest, "bad_header", headerDeadline+" must be a number of milliseconds above 0")
 			return a, false
 		}
-		wait = min(time.Duration(ms)*time.Millisecond, s.set.Limits.DeadlineMost)
+		wait = min(time.Duration(ms)*time.Millisecond, s.set.Limits.MaxDeadline)
 	}
 	a.Deadline = now.Add(wait)
 	a.Digest = digest(r.Method, r.URL.RequestURI(), body)
--- a/src/caller/call.go
+++ b/src/caller/call.go
@@ -41,7 +41,7 @@
 		writeAnswerError(w, *refusal)
 		return
 	}
-	defer f.Hold(s.coord.Now)()
+	defer f.AddReader(s.coord.Now)()
 	if answer := wait(r, f); answer != nil {
 		writeCall(w, *answer)
 	}
@@ -81,8 +81,8 @@
 func (s *Server) serveFate(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
 	key := mux.Vars(r)["key"]
 	full := request.FullKey(cust.Name, key)
-	if f := s.coord.Find(full); f != nil {
-		_, n := f.Given()
+	if f := s.coord.FindFlight(full); f != nil {
+		_, n := f.Delivered()
 		out := fate{Key: key, State: "running", Tokens: n, Node: s.coord.Self.Name}
 		if a := f.Answer(); a != nil {
 			out.State, out.Outcome, out.Status = "ended", wireOutcome(*a), a.Status
@@ -90,7 +90,7 @@
 		writeJSON(w, http.StatusOK, out)
 		return
 	}
-	rec := s.coord.Record(r.Context(), full)
+	rec := s.coord.LookupRecord(r.Context(), full)
 	out := fate{Key: key, State: "unknown"}
 	if rec != nil {
 		out.State = "claimed"
@@ -106,7 +106,7 @@
 
 // serveCancel ends a request of this customer that runs at this node.
 func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
-	f := s.coord.Find(request.FullKey(cust.Name, mux.Vars(r)["key"]))
+	f := s.coord.FindFlight(request.FullKey(cust.Name, mux.Vars(r)["key"]))
 	if f == nil {
 		refuse(w, http.StatusNotFound, "request_not_found", "no request by this key is in progress at this node; ask GET /v1/requests/{key} where it is")
 		return
--- a/src/caller/completion.go
+++ b/src/caller/completion.go
@@ -42,7 +42,7 @@
 			writeAnswerError(w, *refusal)
 			return
 		}
-		defer f.Hold(s.coord.Now)()
+		defer f.AddReader(s.coord.Now)()
 		if req.Stream {
 			s.stream(w, r, f, &req, after)
 			return
@@ -93,7 +93,7 @@
 	_, key, _ := strings.Cut(f.Key, "/")
 	created := a.Created
 	if created == 0 {
-		created = f.Began.Unix()
+		created = f.StartedAt.Unix()
 	}
 	return openai.Answer{ID: "cmpl-" + key, Object: object, Created: created, Model: req.Model}
 }
@@ -218,7 +218,7 @@
 	out := head(e.f, e.req, a, object)
 	out.Choices = []openai.Choice{last}
 	e.event(sent+1, out)
-	if e.req.WithUsage {
+	if e.req.IncludeUsage {
 		out.Choices = []openai.Choice{}
 		out.Usage = usage(a, sent)
 		e.event(sent+2, out)
--- a/src/caller/completion_test.go
+++ b/src/caller/completion_test.go
@@ -15,7 +15,7 @@
 func writer(chat bool) (*eventWriter, *httptest.ResponseRecorder) {
 	rec := httptest.NewRecorder()
 	f := request.NewFlight("c/k", nil, "a", true, time.Unix(100, 0), func() {})
-	return newEventWriter(rec, time.Second, f, &openai.Request{Chat: chat, Model: "m", WithUsage: true}), rec
+	return newEventWriter(rec, time.Second, f, &openai.Request{Chat: chat, Model: "m", IncludeUsage: true}), rec
 }
 
 func TestEventsHaveTheOpenAIShape(t *testing.T) {
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	e, rec := writer(false)
 	e.token(1, "x")
-	e.end(1, request.Unsure("upstream_lost", "lost", time.Second))
+	e.end(1, request.Indeterminate("upstream_lost", "lost", time.Second))
 	is.True(e.flush())
 	is.True(strings.Contains(rec.Body.String(), `"outcome":"may-have-run","retry_after_ms":1000`))
 	is.True(!strings.Contains(rec.Body.String(), openai.Done))
--- a/src/caller/endpoints.go
+++ b/src/caller/endpoints.go
@@ -35,7 +35,7 @@
 	}
 	var nodes []member.Node
 	for _, n := range s.fleet.Nodes() {
-		if !n.Leaving && !s.fleet.Suspect(n.Name) {
+		if !n.Leaving && !s.fleet.RecentlyFailed(n.Name) {
 			nodes = append(nodes, n)
 		}
 	}
--- a/src/caller/server.go
+++ b/src/caller/server.go
@@ -90,7 +90,7 @@
 		cust, ok := s.coord.Catalog().CustomerByKey(bearerKey(r))
 		if !ok {
 			if !s.ready() {
-				a := request.Refuse(http.StatusServiceUnavailable, "starting", "this node has no configuration yet", request.Jitter(time.Second))
+				a := request.Refused(http.StatusServiceUnavailable, "starting", "this node has no configuration yet", request.Jitter(time.Second))
 				writeAnswerError(w, a)
 				return
 			}
@@ -102,7 +102,7 @@
 }
 
 func (s *Server) refuseLeaving(w http.ResponseWriter) {
-	a := request.Refuse(http.StatusServiceUnavailable, "node_leaving", "this node is leaving; use another address of /v1/endpoints", request.Jitter(200*time.Millisecond))
+	a := request.Refused(http.StatusServiceUnavailable, "node_leaving", "this node is leaving; use another address of /v1/endpoints", request.Jitter(200*time.Millisecond))
 	for _, n := range s.fleet.Nodes() {
 		if !n.Leaving && n.Name != s.coord.Self.Name {
 			w.Header().Add("Crankridge-Address", n.Callers)
--- a/src/capacity/buyer.go
+++ b/src/capacity/buyer.go
@@ -21,7 +21,7 @@
 
 // Buyer sends the orders of the holder of the duty, each only when it differs
 // from what was ordered last or was not obeyed.
-type Buyer struct {
+type Provisioner struct {
 	Lease  *duty.Lease
 	Sender duty.OrderSender
 	Now    func() time.Time
@@ -42,7 +42,7 @@
 }
 
 // Step sends the orders that are due for one service.
-func (b *Buyer) Step(ctx context.Context, scaling traffic.Scaling, orders []duty.Order, supply map[string]Supply) {
+func (b *Provisioner) Reconcile(ctx context.Context, scaling traffic.Scaling, orders []duty.Order, supply map[string]Supply) {
 	for _, o := range orders {
 		term, ok := b.Lease.Term()
 		if !ok {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (b *Buyer) due(last placement, o duty.Order, scaling traffic.Scaling, have Supply) bool {
+func (b *Provisioner) due(last placement, o duty.Order, scaling traffic.Scaling, have Supply) bool {
 	now := b.Now()
 	count := have.OnDemand
 	if o.Spot {
@@ -74,15 +74,15 @@
 	return count != o.Count && now.Sub(last.at) > scaling.Boot+settleBeyond
 }
 
-func (b *Buyer) send(ctx context.Context, term duty.Term, o duty.Order) placement {
-	ctx, cancel := context.WithTimeout(ctx, duty.CallLimit)
+func (b *Provisioner) send(ctx context.Context, term duty.Term, o duty.Order) placement {
+	ctx, cancel := context.WithTimeout(ctx, duty.CallTimeout)
 	defer cancel()
 	began := b.Now()
 	err := b.Sender.OrderServers(ctx, term, o)
 	klog.InfoS("order", "service", o.Service, "failure_domain", o.FailureDomain, "count", o.Count, "spot", o.Spot, "fence", term.Fence, "err", err)
 	placed := placement{count: o.Count, at: b.Now()}
 	switch {
-	case errors.Is(err, ports.ErrSoldOut):
+	case errors.Is(err, ports.ErrNoCapacity):
 		placed.again = began.Add(soldOutWait)
 	case err != nil:
 		placed.again = began.Add(failedWait)
--- a/src/capacity/demand.go
+++ b/src/capacity/demand.go
@@ -20,7 +20,7 @@
 )
 
 // Meter measures what this node's requests ask of a service.
-type Meter struct {
+type DemandMeter struct {
 	mu      sync.Mutex
 	tokens  float64 // a second, decaying
 	at      time.Time
@@ -28,7 +28,7 @@
 }
 
 // Ask counts a prompt's tokens that no other request shares.
-func (m *Meter) Ask(tokens int64, now time.Time) {
+func (m *DemandMeter) RecordPrompt(tokens int64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.tokens = fade(m.tokens, now.Sub(m.at), rateHalfLife) + float64(tokens)*math.Ln2/rateHalfLife.Seconds()
@@ -38,7 +38,7 @@
 // Read notes how long an engine took to the first event of a prompt. The
 // measured rate follows a high quantile: a prompt that waited tells too low a
 // rate, one that was kept in memory too high a one.
-func (m *Meter) Read(tokens int64, took time.Duration) {
+func (m *DemandMeter) RecordPrefill(tokens int64, took time.Duration) {
 	if tokens < sampleTokens || took <= 0 {
 		return
 	}
@@ -56,14 +56,14 @@
 }
 
 // Tokens is the rate of unshared prompt tokens asked for, a second.
-func (m *Meter) Tokens(now time.Time) float64 {
+func (m *DemandMeter) TokenRate(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return fade(m.tokens, now.Sub(m.at), rateHalfLife)
 }
 
 // Reading is the measured rate of reading, tokens a second; 0 before any.
-func (m *Meter) Reading() float64 {
+func (m *DemandMeter) PrefillRate() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reading
@@ -74,7 +74,7 @@
 }
 
 // Peak holds the highest of the values of the last while.
-type Peak struct {
+type RollingMax struct {
 	values []peakValue
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Raise takes in a value and returns the highest of those not older than peakFor.
-func (p *Peak) Raise(value int, now time.Time) int {
+func (p *RollingMax) Add(value int, now time.Time) int {
 	kept := p.values[:0]
 	for _, v := range p.values {
 		// A value that a later one reaches tells nothing more.
@@ -98,7 +98,7 @@
 
 // Servers is how many servers a demand needs: unshared prompt tokens a second,
 // requests in progress, places of a server, and the measured rate of reading.
-func Servers(tokens, running float64, slots int, reading float64) int {
+func RequiredServers(tokens, running float64, slots int, reading float64) int {
 	if reading <= 0 {
 		reading = defaultReading
 	}
--- a/src/capacity/plan.go
+++ b/src/capacity/plan.go
@@ -43,7 +43,7 @@
 
 // Standing is the need that the servers that are there were bought for. At the
 // first start of the system they were not bought by a plan.
-func Standing(servers []traffic.Upstream, first bool) int {
+func InferredNeed(servers []traffic.Upstream, first bool) int {
 	serving := 0
 	for _, s := range servers {
 		if !s.Draining {
@@ -61,7 +61,7 @@
 	Servers int
 	// SpotComing says that reclaimable servers were ordered just now and that
 	// nothing needs them yet: no on-demand ones are kept or bought in their place.
-	SpotComing bool
+	SpotPending bool
 }
 
 // Plan returns the orders that give a service what it needs: reclaimable
@@ -77,7 +77,7 @@
 	spotWanted := ceil(float64(servers-floor) + float64(servers)*hedgePart)
 	spot := spread(spotWanted, domains, func(string) int { return scaling.Max })
 	extra := 0
-	if !need.SpotComing {
+	if !need.SpotPending {
 		ready := 0
 		for _, domain := range domains {
 			ready += min(supply[domain].Spot, spot[domain])
@@ -105,7 +105,7 @@
 
 // byPrice returns the failure domains, the cheapest first.
 func byPrice(scaling traffic.Scaling) []string {
-	domains := slices.Clone(scaling.DomainsOrdered)
+	domains := slices.Clone(scaling.SortedDomains)
 	slices.SortStableFunc(domains, func(a, b string) int {
 		return cmp.Compare(scaling.DomainPrices[a], scaling.DomainPrices[b])
 	})
--- a/src/capacity/plan_test.go
+++ b/src/capacity/plan_test.go
@@ -16,7 +16,7 @@
 	s := traffic.Scaling{Min: 1, Max: most, Boot: 4 * time.Second, SpotPrice: 0.15, DomainPrices: map[string]float64{}}
 	for i := range domains {
 		name := fmt.Sprintf("d%d", i)
-		s.DomainsOrdered = append(s.DomainsOrdered, name)
+		s.SortedDomains = append(s.SortedDomains, name)
 		s.DomainPrices[name] = 1 + float64(i)/10
 	}
 	return s
@@ -39,7 +39,7 @@
 		most := rapid.IntRange(2, 12).Draw(t, "most in a domain")
 		scaling := scalingOf(domains, most)
 		supply := map[string]Supply{}
-		for _, name := range scaling.DomainsOrdered {
+		for _, name := range scaling.SortedDomains {
 			supply[name] = Supply{OnDemand: rapid.IntRange(0, most).Draw(t, "on demand"), Spot: rapid.IntRange(0, most).Draw(t, "spot")}
 		}
 		need := rapid.IntRange(1, domains*most).Draw(t, "need")
@@ -93,33 +93,33 @@
 			servers = append(servers, traffic.Upstream{})
 		}
 		servers = append(servers, traffic.Upstream{Draining: true})
-		need = Standing(servers, false)
+		need = InferredNeed(servers, false)
 		is.True(need <= 20)
 		is.True(need >= 17)
 	}
-	is.Equal(Standing(make([]traffic.Upstream, 18), true), 18)
+	is.Equal(InferredNeed(make([]traffic.Upstream, 18), true), 18)
 }
 
 func TestNeedHoldsThoughSomePromptsAreReadAtOnce(t *testing.T) {
 	is := is.New(t)
-	var m Meter
+	var m DemandMeter
 	for i := range 300 {
 		took := 100 * time.Millisecond // 40,000 a second
 		if i%10 == 0 {
 			took = 5 * time.Millisecond // kept in memory from an earlier request
 		}
-		m.Read(4000, took)
+		m.RecordPrefill(4000, took)
 	}
-	is.True(m.Reading() > 25000 && m.Reading() < 90000)
-	is.True(Servers(150000, 30, 64, m.Reading()) >= 6)
+	is.True(m.PrefillRate() > 25000 && m.PrefillRate() < 90000)
+	is.True(RequiredServers(150000, 30, 64, m.PrefillRate()) >= 6)
 }
 
 func TestPeakHoldsAndLetsGo(t *testing.T) {
 	is := is.New(t)
-	var p Peak
+	var p RollingMax
 	at := time.Unix(1000, 0)
-	is.Equal(p.Raise(20, at), 20)
-	is.Equal(p.Raise(8, at.Add(peakFor/2)), 20)
-	is.Equal(p.Raise(6, at.Add(peakFor+time.Second)), 8)
-	is.Equal(p.Raise(6, at.Add(3*peakFor)), 6)
+	is.Equal(p.Add(20, at), 20)
+	is.Equal(p.Add(8, at.Add(peakFor/2)), 20)
+	is.Equal(p.Add(6, at.Add(peakFor+time.Second)), 8)
+	is.Equal(p.Add(6, at.Add(3*peakFor)), 6)
 }
--- a/src/catalog/resource.go
+++ b/src/catalog/resource.go
@@ -137,7 +137,7 @@
 }
 
 // KnownKind parses a kind, in singular or plural.
-func KnownKind(s string) (Kind, bool) {
+func ParseKind(s string) (Kind, bool) {
 	for _, k := range Kinds {
 		if s == string(k) || strings.TrimSuffix(s, "s") == string(k) {
 			return k, true
--- a/src/claim/claim_test.go
+++ b/src/claim/claim_test.go
@@ -64,7 +64,7 @@
 		n.nodes = append(n.nodes, &modelNode{})
 		n.boot(i)
 	}
-	n.current = Start(1, n.fleet(nil))
+	n.current = NewMap(1, n.fleet(nil))
 	for i := range n.nodes {
 		n.learn(i)
 	}
@@ -123,13 +123,13 @@
 func (n *network) claim(a *modelAttempt) {
 	m := n.nodes[a.node]
 	def := m.known.Shards[0]
-	if def.FloorMS > 0 && n.tried[a.key] {
+	if def.RecordsLostMS > 0 && n.tried[a.key] {
 		m.own.Release(a.id, n.now)
 		return
 	}
 	n.tried[a.key] = true
 	a.round++
-	a.tally = &Tally{Asked: len(def.Keepers), Need: Majority}
+	a.tally = &Tally{Asked: len(def.Keepers), Required: Majority}
 	a.heard = map[int]bool{}
 	for _, k := range def.Keepers {
 		to := int(k.Name[1] - '0')
@@ -351,7 +351,7 @@
 func TestKeepersStandInDifferentDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleetOf(rapid.IntRange(3, 20).Draw(t, "nodes"))
-		for _, s := range Start(64, f).Shards {
+		for _, s := range NewMap(64, f).Shards {
 			seen := map[string]bool{}
 			for _, k := range s.Keepers {
 				seen[k.FailureDomain] = true
@@ -366,7 +366,7 @@
 func TestMapIsStableAndFollowsLosses(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(9)
-	m := Start(64, f)
+	m := NewMap(64, f)
 	_, changed := m.Next(f)
 	is.True(!changed) // same fleet, same map
 	delete(f.Live, "n4")
@@ -385,7 +385,7 @@
 func TestSilentKeepersAreNotForgottenRecords(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(6)
-	m := Start(1, f)
+	m := NewMap(1, f)
 	old := m.Shards[0].Keepers
 	delete(f.Live, old[0].Name)
 	delete(f.Live, old[1].Name)
@@ -393,12 +393,12 @@
 	for range 5 {
 		m, _ = m.Next(f)
 	}
-	is.True(!m.Shards[0].Active)            // two silent keepers may still hold claims
-	is.Equal(m.Shards[0].FloorMS, int64(0)) // so the shard waits
+	is.True(!m.Shards[0].Active)                  // two silent keepers may still hold claims
+	is.Equal(m.Shards[0].RecordsLostMS, int64(0)) // so the shard waits
 	f.Gone = func(n Node) bool { return n.Name == old[0].Name || n.Name == old[1].Name }
 	f.NowMS = 77
 	m, _ = m.Next(f)
-	is.Equal(m.Shards[0].FloorMS, int64(77)) // now they are gone for certain
+	is.Equal(m.Shards[0].RecordsLostMS, int64(77)) // now they are gone for certain
 }
 
 // keeperOf returns a ledger that keeps shard 0 as the map says.
@@ -411,7 +411,7 @@
 func TestNoClaimBeforeTheEpochIsActive(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(4)
-	m := Start(1, f)
+	m := NewMap(1, f)
 	lost := m.Shards[0].Keepers[2]
 	delete(f.Live, lost.Name)
 	next, _ := m.Next(f)
@@ -430,7 +430,7 @@
 func TestSecondHandOverKeepsTheLastActiveSource(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(6)
-	first := Start(1, f)
+	first := NewMap(1, f)
 	delete(f.Live, first.Shards[0].Keepers[0].Name)
 	second, _ := first.Next(f)
 	delete(f.Live, second.Shards[0].Keepers[2].Name)
@@ -443,7 +443,7 @@
 func TestHandOverKeepsEveryAttemptItFinds(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(4)
-	m := Start(1, f)
+	m := NewMap(1, f)
 	l := keeperOf(m.Shards[0].Keepers[0], m)
 	rec := func(id string) []Record { return []Record{{Key: "k", Attempts: []Attempt{{ID: id}}}} }
 	is.True(l.Adopt(0, 1, rec("a"), rec("b")))
@@ -457,7 +457,7 @@
 func TestLedgerIsBoundedInRecordsAndTime(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(3)
-	m := Start(1, f)
+	m := NewMap(1, f)
 	l := keeperOf(m.Shards[0].Keepers[0], m)
 	vote := func(i int, at int64) Verdict {
 		return l.Vote(Claim{Epoch: 1, Key: fmt.Sprint(i), Attempt: Attempt{ID: fmt.Sprint(i)}}, time.Unix(at, 0)).Verdict
@@ -473,7 +473,7 @@
 func TestSealedKeeperTakesNoMoreClaimsOfTheEpoch(t *testing.T) {
 	is := is.New(t)
 	f := fleetOf(4)
-	m := Start(1, f)
+	m := NewMap(1, f)
 	l := keeperOf(m.Shards[0].Keepers[0], m)
 	c := Claim{Epoch: 1, Key: "k", Attempt: Attempt{ID: "a"}}
 	is.Equal(l.Vote(c, time.Unix(1, 0)).Verdict, Stored)
--- a/src/claim/decide.go
+++ b/src/claim/decide.go
@@ -14,12 +14,12 @@
 
 // Tally gathers the replies to one round of claims.
 type Tally struct {
-	Asked   int
-	Need    int // keepers that must store the claim; Majority but for single-node use
-	Stored  int
-	Failed  int // no answer, not ready, or full
-	Stale   int
-	Holders []Record
+	Asked    int
+	Required int // keepers that must store the claim; Majority but for single-node use
+	Stored   int
+	Failed   int // no answer, not ready, or full
+	Stale    int
+	Holders  []Record
 }
 
 // Add counts one reply; nil stands for no answer.
@@ -44,9 +44,9 @@
 func (t *Tally) Decide() Decision {
 	open := t.Asked - t.answered()
 	switch {
-	case t.Stored >= t.Need:
+	case t.Stored >= t.Required:
 		return Granted
-	case t.Stored+open >= t.Need && open > 0:
+	case t.Stored+open >= t.Required && open > 0:
 		return Wait
 	case open > 0 && len(t.Holders) == 0:
 		return Wait
--- a/src/claim/ledger.go
+++ b/src/claim/ledger.go
@@ -203,7 +203,7 @@
 }
 
 // Place notes where the stream of an attempt runs.
-func (l *Ledger) Place(shard int, key, attempt, engine, stream string) {
+func (l *Ledger) SetStream(shard int, key, attempt, engine, stream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rec := l.shard(shard).records[key]
--- a/src/claim/shardmap.go
+++ b/src/claim/shardmap.go
@@ -53,7 +53,7 @@
 	Source      []Node `json:"s,omitempty"`
 	SourceEpoch int64  `json:"p,omitempty"`
 	// FloorMS is the Unix time, ms, at which the shard lost its records; 0 if never.
-	FloorMS int64 `json:"f,omitempty"`
+	RecordsLostMS int64 `json:"f,omitempty"`
 }
 
 // Map is the whole shard map. It is a value; no method changes it.
@@ -100,7 +100,7 @@
 }
 
 // Start is the first map: no record can exist yet, so each shard is active.
-func Start(shards int, f Fleet) Map {
+func NewMap(shards int, f Fleet) Map {
 	m := Map{Shards: make([]Shard, shards)}
 	for i := range m.Shards {
 		m.Shards[i] = Shard{Epoch: 1, Keepers: pick(i, nil, f), Active: true}
@@ -133,7 +133,7 @@
 		return s, true
 	case s.lostSource(f):
 		s.Source = nil
-		s.FloorMS = f.NowMS
+		s.RecordsLostMS = f.NowMS
 		s.Epoch++
 		return s, true
 	}
@@ -143,7 +143,7 @@
 // handOver begins the next epoch. Claims of an epoch that was never active
 // do not exist, so its own source stays the source.
 func (s Shard) handOver(keepers []Node) Shard {
-	next := Shard{Epoch: s.Epoch + 1, Keepers: keepers, Source: s.Source, SourceEpoch: s.SourceEpoch, FloorMS: s.FloorMS}
+	next := Shard{Epoch: s.Epoch + 1, Keepers: keepers, Source: s.Source, SourceEpoch: s.SourceEpoch, RecordsLostMS: s.RecordsLostMS}
 	if s.Active {
 		next.Source = s.Keepers
 		next.SourceEpoch = s.Epoch
--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -34,14 +34,14 @@
 	Entries func() []Entry // nodes that are stored, this one included
 	// NeedsAll tells whether the node needs the records of all others though
 	// it is no hub; nil means never.
-	NeedsAll func() bool
+	NeedsAllRecords func() bool
 	// Raise is called with the incarnation under which others know an earlier
 	// life of this node. The own record must bear a higher one to be heard: the
 	// clock may have stepped back between the lives. nil leaves it.
-	Raise func(above int64)
+	RaiseIncarnation func(above int64)
 	// OnSilent is called when a kept connection to a peer has fallen silent
 	// and a new one works; nil means that nobody wants to know.
-	OnSilent func(address string)
+	OnStalledConn func(address string)
 
 	client  *http.Client
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 
 // Start makes the node ready once its public fields are set.
 func (n *Node) Start() {
-	n.client = &http.Client{Transport: &conn.Kept{OnSilent: n.OnSilent, Transport: &http.Transport{
+	n.client = &http.Client{Transport: &conn.StallDetectingTransport{OnStalledConn: n.OnStalledConn, Transport: &http.Transport{
 		DialContext: conn.Dialer(callLimit).DialContext, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}}
 	n.peers = map[string]Cluster{}
@@ -70,14 +70,14 @@
 func (n *Node) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := interval
-		large := n.Large()
+		large := n.UsesHubs()
 		var targets []target
 		if large {
 			targets = n.hubTargets()
 		} else {
 			targets = n.targets()
 		}
-		if large && !n.Hub() {
+		if large && !n.IsHub() {
 			wait = nodeInterval
 		}
 		for _, one := range targets {
@@ -109,7 +109,7 @@
 }
 
 // Nudge lets the next round of a large system come soon.
-func (n *Node) Nudge() {
+func (n *Node) TriggerExchange() {
 	select {
 	case n.nudged <- struct{}{}:
 	default: // one is waiting already
@@ -118,19 +118,19 @@
 
 // Large tells whether the system is too large for all nodes to exchange with
 // all others.
-func (n *Node) Large() bool { return n.Entries != nil && len(n.Entries()) > flatMost }
+func (n *Node) UsesHubs() bool { return n.Entries != nil && len(n.Entries()) > flatMost }
 
 // Hub tells whether other nodes, or the duties, need this node to know all.
-func (n *Node) Hub() bool {
+func (n *Node) IsHub() bool {
 	n.mu.Lock()
 	asked := time.Since(n.asked) < askedFor
 	n.mu.Unlock()
-	return asked || n.NeedsAll != nil && n.NeedsAll()
+	return asked || n.NeedsAllRecords != nil && n.NeedsAllRecords()
 }
 
 func (n *Node) hubTargets() []target {
 	own := n.Own()
-	return hubTargets(own.Node, own.FailureDomain, n.Entries(), n.avoid, n.Hub())
+	return hubTargets(own.Node, own.FailureDomain, n.Entries(), n.avoid, n.IsHub())
 }
 
 func (n *Node) avoid(node string) bool {
@@ -191,7 +191,7 @@
 		n.reach(to.address).Failed(err)
 		return
 	}
-	n.reach(to.address).Well()
+	n.reach(to.address).Succeeded()
 	middle := sent.Add(time.Since(sent) / 2)
 	n.take(answer, middle)
 	if answer.Summary != nil {
@@ -301,7 +301,7 @@
 
 // addChanges adds what the receiver's copy of the store lacks.
 func (n *Node) addChanges(out *Message, from int64) {
-	delta := n.View.Since(from)
+	delta := n.View.DeltaSince(from)
 	out.Complete, out.Whole = delta.Complete, delta.Whole
 	for _, it := range delta.Items {
 		out.Items = append(out.Items, &Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
@@ -310,8 +310,8 @@
 
 func (n *Node) take(m *Message, at time.Time) {
 	for _, k := range m.Known {
-		if n.Raise != nil && k.Node == n.Members.self {
-			n.Raise(k.Incarnation)
+		if n.RaiseIncarnation != nil && k.Node == n.Members.self {
+			n.RaiseIncarnation(k.Incarnation)
 		}
 	}
 	n.Members.Take(m.Own)
--- a/src/cluster/hub_test.go
+++ b/src/cluster/hub_test.go
@@ -81,7 +81,7 @@
 	}
 	is.True(calls <= len(f.nodes)+2*fleetDomains) // one call a node, and those between the hubs
 	for _, node := range f.nodes {
-		if node.Hub() {
+		if node.IsHub() {
 			is.Equal(len(node.Members.All()), len(f.nodes))
 			continue
 		}
@@ -140,7 +140,7 @@
 		f.round()
 	}
 	for i, node := range f.nodes {
-		if f.records[i].Node == first.Node || node.Hub() {
+		if f.records[i].Node == first.Node || node.IsHub() {
 			continue
 		}
 		s, hub, _, ok := node.Members.Summary()
@@ -172,7 +172,7 @@
 func TestASmallSystemNeedsNoHubs(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, flatMost)
-	is.True(!f.nodes[0].Large())
+	is.True(!f.nodes[0].UsesHubs())
 	f.entries = append(f.entries, Entry{"one-more", "d0", ""})
-	is.True(f.nodes[0].Large())
+	is.True(f.nodes[0].UsesHubs())
 }
--- a/src/cluster/members.go
+++ b/src/cluster/members.go
@@ -237,7 +237,7 @@
 
 // Agreed is the time of day on which most nodes agree, for a moment read from
 // this process's clock.
-func (m *Members) Agreed(at time.Time) time.Time {
+func (m *Members) AgreedTime(at time.Time) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.heard.summary != nil && m.now().Sub(m.heard.at) < clockFor {
--- a/src/cluster/members_test.go
+++ b/src/cluster/members_test.go
@@ -62,7 +62,7 @@
 		m.Compare(fmt.Sprint("right-", i), truth.Round(0), now)
 	}
 	m.Compare("wrong", truth.Add(-time.Hour), now)
-	off := m.Agreed(now).Sub(truth.Round(0))
+	off := m.AgreedTime(now).Sub(truth.Round(0))
 	is.True(off.Abs() < 50*time.Millisecond)
 }
 
@@ -154,7 +154,7 @@
 			sequence++
 			return &Record{Node: name, Incarnation: incarnation, Sequence: sequence}
 		}
-		n.Raise = func(above int64) { incarnation = max(incarnation, above+1) }
+		n.RaiseIncarnation = func(above int64) { incarnation = max(incarnation, above+1) }
 		n.Entries = func() []Entry { return nil }
 		n.Start()
 		return n
--- a/src/cluster/roster.go
+++ b/src/cluster/roster.go
@@ -37,7 +37,7 @@
 }
 
 // Stored takes in the entries that stand in the store.
-func (r *Roster) Stored(entries []Entry) {
+func (r *Roster) SetStored(entries []Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
--- a/src/cluster/roster_test.go
+++ b/src/cluster/roster_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRoster("self", func() time.Time { return now })
-	r.Stored([]Entry{{Node: "self", Peers: "s"}, {Node: "a", Peers: "a"}, {Node: "b", Peers: "b"}})
+	r.SetStored([]Entry{{Node: "self", Peers: "s"}, {Node: "a", Peers: "a"}, {Node: "b", Peers: "b"}})
 	r.Heard("c", now) // never stored
 	is.Equal(r.Count(), 4)
 	now = now.Add(time.Hour) // cut off from everything
@@ -23,16 +23,16 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRoster("self", func() time.Time { return now })
-	r.Stored([]Entry{{Node: "a", Peers: "a"}, {Node: "b", Peers: "b"}})
+	r.SetStored([]Entry{{Node: "a", Peers: "a"}, {Node: "b", Peers: "b"}})
 	now = now.Add(time.Minute)
-	r.Stored(nil) // as when all leases lapse while the store is down
+	r.SetStored(nil) // as when all leases lapse while the store is down
 	is.Equal(len(r.Entries()), 2)
 	now = now.Add(goneFor / 2)
 	r.Heard("b", now)
-	r.Stored([]Entry{{Node: "a", Peers: "a"}}) // a is back
+	r.SetStored([]Entry{{Node: "a", Peers: "a"}}) // a is back
 	now = now.Add(goneFor * 3 / 4)
 	is.Equal(r.Others(), []string{"a", "b"})
-	r.Stored(nil)
+	r.SetStored(nil)
 	now = now.Add(goneFor + time.Millisecond)
 	is.Equal(r.Count(), 1)
 }
--- a/src/cluster/summary.go
+++ b/src/cluster/summary.go
@@ -10,7 +10,7 @@
 
 // Bounds of summaries.
 const (
-	LoadsFor     = 3 * time.Second       // for which a node's loads and demands count
+	LoadMaxAge   = 3 * time.Second       // for which a node's loads and demands count
 	summaryFor   = 3 * time.Second       // for which a summary counts
 	sumsFor      = 50 * time.Millisecond // for which sums serve several summaries
 	heavyMost    = 64                    // servers told one by one
@@ -89,7 +89,7 @@
 
 // Summarize makes the summary for a node that asks its hub.
 func (m *Members) Summarize(asker string, now time.Time) *Summary {
-	agreed := m.Agreed(now)
+	agreed := m.AgreedTime(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sums.records == nil || m.now().Sub(m.sums.at) > sumsFor {
@@ -132,7 +132,7 @@
 		if age <= aliveFor && r.Ready && !r.Leaving {
 			out.callers = append(out.callers, r.Callers)
 		}
-		if age > LoadsFor {
+		if age > LoadMaxAge {
 			continue
 		}
 		for _, load := range r.Loads {
--- a/src/conn/kept.go
+++ b/src/conn/kept.go
@@ -15,18 +15,18 @@
 // the idle ones are given up, so that the next call uses a new connection. It
 // is for calls that are answered at once or by a time that the caller set, not
 // for requests whose work takes long.
-type Kept struct {
+type StallDetectingTransport struct {
 	Transport *http.Transport
 	// OnSilent is called when new connections to a host work after a kept one
 	// was silent. It may be nil.
-	OnSilent func(host string)
+	OnStalledConn func(host string)
 
 	mu      sync.Mutex
 	doubted map[string]bool // hosts whose kept connections were silent
 }
 
 // RoundTrip makes one call.
-func (k *Kept) RoundTrip(r *http.Request) (*http.Response, error) {
+func (k *StallDetectingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var reused atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { reused.Store(info.Reused) }}
 	resp, err := k.Transport.RoundTrip(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
@@ -44,7 +44,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-func (k *Kept) doubt(host string) {
+func (k *StallDetectingTransport) doubt(host string) {
 	k.mu.Lock()
 	if k.doubted == nil {
 		k.doubted = map[string]bool{}
@@ -54,12 +54,12 @@
 	k.Transport.CloseIdleConnections()
 }
 
-func (k *Kept) worksAnew(host string) {
+func (k *StallDetectingTransport) worksAnew(host string) {
 	k.mu.Lock()
 	silent := k.doubted[host]
 	delete(k.doubted, host)
 	k.mu.Unlock()
-	if silent && k.OnSilent != nil {
-		k.OnSilent(host)
+	if silent && k.OnStalledConn != nil {
+		k.OnStalledConn(host)
 	}
 }
--- a/src/conn/kept_test.go
+++ b/src/conn/kept_test.go
@@ -47,7 +47,7 @@
 	q := &quietServer{}
 	server := q.start(t)
 	var silent atomic.Value
-	k := &Kept{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, OnSilent: func(host string) { silent.Store(host) }}
+	k := &StallDetectingTransport{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, OnStalledConn: func(host string) { silent.Store(host) }}
 	client := &http.Client{Transport: k}
 	get := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	p := &Process{
-		set: set, metrics: metrics, view: view.NewLogged(logKept), fleet: member.NewFleet(set.Node.Name, time.Now),
+		set: set, metrics: metrics, view: view.NewWithLog(logKept), fleet: member.NewFleet(set.Node.Name, time.Now),
 		pool: peer.NewPool(set.Secrets.Peer), journal: telemetry.NewJournal(journalKept),
 		engines: engine.NewClient(time.Second, engineTimeout), started: time.Now(),
 	}
@@ -119,15 +119,15 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(p.state())
 	})
-	operator.NewServer(operator.NewStore(p.kv, p.view), p.view, p.fleet, p.inForce, p.journal.About).Routes(r)
+	operator.NewServer(operator.NewStore(p.kv, p.view), p.view, p.fleet, p.inForce, p.journal.ForSubject).Routes(r)
 	return operator.RequireToken(p.set.Secrets.Operator, r)
 }
 
 // inForce asks every live node which revision it has.
-func (p *Process) inForce(ctx context.Context, version int64) operator.InForce {
+func (p *Process) inForce(ctx context.Context, version int64) operator.RolloutStatus {
 	ctx, cancel := context.WithTimeout(ctx, inForceCall)
 	defer cancel()
-	out := operator.InForce{Version: version}
+	out := operator.RolloutStatus{Version: version}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, n := range p.fleet.Nodes() {
@@ -155,7 +155,7 @@
 	if known, ok := p.known.Load(run); ok && known.(int64) >= version {
 		return true
 	}
-	resp, err := p.pool.To(n.Peers).Inventory(ctx, &peer.InventoryRequest{})
+	resp, err := p.pool.Client(n.Peers).Inventory(ctx, &peer.InventoryRequest{})
 	if err != nil {
 		return false
 	}
@@ -165,17 +165,17 @@
 
 // State is the dump of a crank-control.
 type State struct {
-	Node     string                `json:"node"`
-	UptimeS  int64                 `json:"uptime_s"`
-	Complete int64                 `json:"complete_revision"`
-	Leading  bool                  `json:"leading"`
-	Epoch    int64                 `json:"epoch"`
-	Rounds   int64                 `json:"rounds"`
-	Needs    map[string]*plan.Need `json:"needs"`
-	Intents  []plan.Intent         `json:"intents"`
-	Nodes    []member.Node         `json:"nodes"`
-	Recent   []telemetry.Decision  `json:"recent"`
-	Traffic  map[string][2]int64   `json:"control_bytes"` // by channel: in, out
+	Node             string                `json:"node"`
+	UptimeS          int64                 `json:"uptime_s"`
+	CompleteRevision int64                 `json:"complete_revision"`
+	Leading          bool                  `json:"leading"`
+	Epoch            int64                 `json:"epoch"`
+	Rounds           int64                 `json:"rounds"`
+	Needs            map[string]*plan.Need `json:"needs"`
+	Intents          []plan.Intent         `json:"intents"`
+	Nodes            []member.Node         `json:"nodes"`
+	Recent           []telemetry.Decision  `json:"recent"`
+	Traffic          map[string][2]int64   `json:"control_bytes"` // by channel: in, out
 }
 
 const recentShown = 50
@@ -184,7 +184,7 @@
 	rev, _ := p.view.Complete()
 	epoch, leading := p.lead.valid()
 	s := State{
-		Node: p.set.Node.Name, UptimeS: int64(time.Since(p.started).Seconds()), Complete: rev, Leading: leading, Epoch: epoch, Nodes: p.fleet.Nodes(),
+		Node: p.set.Node.Name, UptimeS: int64(time.Since(p.started).Seconds()), CompleteRevision: rev, Leading: leading, Epoch: epoch, Nodes: p.fleet.Nodes(),
 		Traffic: map[string][2]int64{
 			"kv":      {p.kvTraffic.In.Load(), p.kvTraffic.Out.Load()},
 			"engines": {p.engines.Control.In.Load(), p.engines.Control.Out.Load()},
@@ -194,7 +194,7 @@
 	p.planner.mu.Lock()
 	s.Rounds, s.Needs, s.Intents = p.planner.rounds, p.planner.last.Needs, p.planner.last.Actions.Intents
 	p.planner.mu.Unlock()
-	recent := p.journal.About("")
+	recent := p.journal.ForSubject("")
 	s.Recent = recent[max(len(recent)-recentShown, 0):]
 	return s
 }
--- a/src/control/lead.go
+++ b/src/control/lead.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if !swap.Won {
+	if !swap.Succeeded {
 		l.drop()
 		return errHeld
 	}
--- a/src/control/planner.go
+++ b/src/control/planner.go
@@ -108,11 +108,11 @@
 	in := plan.Input{
 		Catalog: snap, VMs: vms, Offers: p.offers, Engines: p.answered(), Intents: intents, Refused: p.refused, Now: time.Now(),
 		Params: plan.Params{
-			Prefix: p.set.Planner.Prefix, Most: p.set.Planner.Most, WeightsRate: p.set.Planner.WeightsRate, Boot: p.set.Planner.Boot,
-			Margin: p.set.Planner.Margin, Spread: p.set.Planner.Spread, OnDemand: p.set.Planner.OnDemandOnly,
+			Prefix: p.set.Planner.VMPrefix, MaxVMs: p.set.Planner.MaxServers, WeightsBytesPerSecond: p.set.Planner.WeightsRate, BootTime: p.set.Planner.Boot,
+			Margin: p.set.Planner.Margin, SpreadDomains: p.set.Planner.Spread, OnDemand: p.set.Planner.OnDemandOnly,
 		},
 	}
-	res := plan.Make(in)
+	res := plan.Compute(in)
 	p.mu.Lock()
 	p.rounds++
 	p.last = res
@@ -198,7 +198,7 @@
 		return err
 	}
 	swap, err := p.kv.PutIf(ctx, intentsKey, raw, stored.Revision, 0)
-	if err == nil && !swap.Won {
+	if err == nil && !swap.Succeeded {
 		err = errLost
 	}
 	return err
@@ -235,7 +235,7 @@
 	if !errors.Is(err, ports.ErrRefused) {
 		return nil
 	}
-	p.refused[plan.KeyOf(i.Offer)] = time.Now()
+	p.refused[plan.OfferKeyOf(i.Offer)] = time.Now()
 	// The intent is given up, or it would count as coming for ever.
 	stored, _, _, err := p.kv.Get(ctx, intentsKey)
 	if err != nil {
@@ -249,15 +249,15 @@
 	return p.storeIntents(ctx, epoch, stored, all, have)
 }
 
-func (p *planner) order(ctx context.Context, epoch int64, l plan.Load, op string) {
+func (p *planner) order(ctx context.Context, epoch int64, l plan.EngineOrder, op string) {
 	if p.still(epoch) != nil {
 		return
 	}
-	err := p.engines.Give(ctx, l.Addr, engine.Order{Epoch: epoch, Op: op, Name: l.Item.Name, Version: l.Item.Version, Bytes: l.Size})
+	err := p.engines.SendOrder(ctx, l.Addr, engine.Order{Epoch: epoch, Op: op, Name: l.Model.Name, Version: l.Model.Version, Bytes: l.Bytes})
 	s := p.states[l.VM]
 	s.pending = true
 	p.states[l.VM] = s
-	p.note(l.VM, op+" "+l.Item.Name, err)
+	p.note(l.VM, op+" "+l.Model.Name, err)
 }
 
 func (p *planner) note(subject, what string, err error) {
--- a/src/control/publish.go
+++ b/src/control/publish.go
@@ -27,9 +27,9 @@
 			released[i.Name] = i.ReleaseMS
 		}
 	}
-	domains := map[string]*upstream.Domain{}
+	domains := map[string]*upstream.DomainUpstreams{}
 	for _, it := range p.view.List(upstream.Prefix) {
-		domains[it.Key[len(upstream.Prefix):]] = &upstream.Domain{}
+		domains[it.Key[len(upstream.Prefix):]] = &upstream.DomainUpstreams{}
 	}
 	gone := []string{}
 	for _, vm := range vms {
@@ -38,7 +38,7 @@
 		}
 		if pub, ok := p.published(vm, released[vm.Name]); ok {
 			if domains[vm.FailureDomain] == nil {
-				domains[vm.FailureDomain] = &upstream.Domain{}
+				domains[vm.FailureDomain] = &upstream.DomainUpstreams{}
 			}
 			domains[vm.FailureDomain].Upstreams = append(domains[vm.FailureDomain].Upstreams, pub)
 		}
@@ -52,7 +52,7 @@
 	if err != nil || len(gone) == 0 {
 		return err
 	}
-	return p.storeIfNew(ctx, epoch, member.GoneKey, raw)
+	return p.storeIfNew(ctx, epoch, member.TerminatedVMsKey, raw)
 }
 
 func (p *planner) published(vm ports.VM, released int64) (upstream.Published, bool) {
@@ -68,8 +68,8 @@
 		return pub, true
 	case "engine":
 		s, ok := p.states[vm.Name]
-		pub.Kind, pub.Models, pub.Slots, pub.PrefillTPS, pub.MoveTPS = upstream.KindEngine, s.Models, s.Slots, s.PrefillTPS, p.set.Planner.MoveTPS
-		slices.SortFunc(pub.Models, func(a, b engine.Loaded) int { return strings.Compare(a.Name, b.Name) })
+		pub.Kind, pub.Models, pub.Slots, pub.PrefillTPS, pub.KVTransferTPS = upstream.KindEngine, s.Models, s.Slots, s.PrefillTPS, p.set.Planner.MoveTPS
+		slices.SortFunc(pub.Models, func(a, b engine.LoadedModel) int { return strings.Compare(a.Name, b.Name) })
 		// An engine that does not answer now keeps what was published of it.
 		if !ok || s.failed && len(s.Models) == 0 {
 			return p.lastPublished(vm, pub)
@@ -87,7 +87,7 @@
 	if !ok {
 		return now, false
 	}
-	d, err := upstream.DecodeDomain(it.Value)
+	d, err := upstream.DecodeDomainUpstreams(it.Value)
 	i := slices.IndexFunc(d.Upstreams, func(u upstream.Published) bool { return u.Name == vm.Name && u.Addr == vm.Address })
 	if err != nil || i < 0 {
 		return now, false
@@ -128,7 +128,7 @@
 		if it, ok := p.view.Get(event.Prefix + name); ok {
 			old, _ = event.Decode(it.Value)
 		}
-		next, changed := event.Next(old, name, ev.Version, plan.FactsOf(ev, in, res, services))
+		next, changed := event.Next(old, name, ev.Version, plan.EventFacts(ev, in, res, services))
 		if !changed {
 			continue
 		}
--- a/src/ctl/resources.go
+++ b/src/ctl/resources.go
@@ -130,7 +130,7 @@
 func (g *globals) waitInForce(version int64, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
-		var f operator.InForce
+		var f operator.RolloutStatus
 		_, err := g.read("/v1/inforce?version="+strconv.FormatInt(version, 10), &f)
 		if err == nil && f.Have == f.Nodes && f.Nodes > 0 {
 			fmt.Printf("in force on all %d nodes\n", f.Nodes)
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -17,7 +17,7 @@
 // Times of the lease, as parts of its time to live.
 const (
 	renewParts  = 4                      // renewals within one lease
-	CallLimit   = 700 * time.Millisecond // of one call under a term
+	CallTimeout = 700 * time.Millisecond // of one call under a term
 	safetyShare = 0.35                   // of a lease, in which its holder no longer begins calls
 	holdOff     = 200 * time.Millisecond // beyond a lease, for which a lease is held before it is given up early
 )
@@ -31,7 +31,7 @@
 // Store is what the lease needs of the key-value service.
 type Store interface {
 	Get(ctx context.Context, key string) (it ports.Item, ok bool, at int64, err error)
-	PutIf(ctx context.Context, key string, value []byte, rev, lease int64, remove ...string) (ports.Swap, error)
+	PutIf(ctx context.Context, key string, value []byte, rev, lease int64, remove ...string) (ports.SwapResult, error)
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, id int64) error
 	Revoke(ctx context.Context, id int64) error
@@ -89,7 +89,7 @@
 	if closed {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, CallLimit)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	switch {
 	case state.fence != 0:
@@ -128,7 +128,7 @@
 	switch {
 	case err != nil:
 		// The write may still take effect; the next step reads it back.
-	case swap.Won:
+	case swap.Succeeded:
 		l.hold(swap.Revision)
 	default:
 		l.abandon(ctx, id)
--- a/src/duty/term_test.go
+++ b/src/duty/term_test.go
@@ -64,25 +64,25 @@
 	return it, ok, s.revision, nil
 }
 
-func (s *memoryStore) PutIf(_ context.Context, key string, value []byte, rev, lease int64, _ ...string) (ports.Swap, error) {
+func (s *memoryStore) PutIf(_ context.Context, key string, value []byte, rev, lease int64, _ ...string) (ports.SwapResult, error) {
 	s.lapse()
 	if s.down {
-		return ports.Swap{}, errLost
+		return ports.SwapResult{}, errLost
 	}
 	if lease != 0 {
 		if _, ok := s.leases[lease]; !ok {
-			return ports.Swap{}, ports.ErrLeaseGone
+			return ports.SwapResult{}, ports.ErrLeaseGone
 		}
 	}
 	if s.items[key].Revision != rev {
-		return ports.Swap{Current: s.items[key]}, s.outcome()
+		return ports.SwapResult{Current: s.items[key]}, s.outcome()
 	}
 	s.revision++
 	s.items[key] = ports.Item{Key: key, Value: value, Revision: s.revision}
 	if lease != 0 {
 		s.under[key] = lease
 	}
-	return ports.Swap{Won: true, Revision: s.revision}, s.outcome()
+	return ports.SwapResult{Succeeded: true, Revision: s.revision}, s.outcome()
 }
 
 func (s *memoryStore) Grant(_ context.Context, ttl time.Duration) (int64, error) {
--- a/src/duty/usage.go
+++ b/src/duty/usage.go
@@ -37,7 +37,7 @@
 func NewLedger() *Ledger { return &Ledger{counts: map[int64]map[usageKey]int64{}} }
 
 // Take notes a node's running sum.
-func (l *Ledger) Take(node string, incarnation, window int64, customer string, count int64) {
+func (l *Ledger) Merge(node string, incarnation, window int64, customer string, count int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	of := l.counts[window]
@@ -61,7 +61,7 @@
 }
 
 // Forget drops the windows before one.
-func (l *Ledger) Forget(before int64) {
+func (l *Ledger) DropBefore(before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window := range l.counts {
@@ -78,7 +78,7 @@
 
 // Usage reports each window once. A window's counts are sealed in the store
 // before they are sent, so that whoever sends them again sends the same.
-type Usage struct {
+type UsageReporter struct {
 	Ledger *Ledger
 	Lease  *Lease
 	Store  Store
@@ -96,7 +96,7 @@
 }
 
 // Step reports the windows that have settled and are not reported yet.
-func (u *Usage) Step(ctx context.Context) {
+func (u *UsageReporter) Step(ctx context.Context) {
 	term, ok := u.Lease.Term()
 	if !ok {
 		return
@@ -109,8 +109,8 @@
 	if u.AllHeard() {
 		settle = settleSoon
 	}
-	last := WindowOf(now.Add(-settle), u.Window) - 1
-	first := WindowOf(now.Add(-u.Late-tryFor), u.Window)
+	last := WindowIndex(now.Add(-settle), u.Window) - 1
+	first := WindowIndex(now.Add(-u.Late-tryFor), u.Window)
 	for window := first; window <= last; window++ {
 		if !u.sent[window] {
 			u.sent[window] = u.report(ctx, window)
@@ -124,13 +124,13 @@
 }
 
 // WindowOf is the number of the window that holds a moment.
-func WindowOf(at time.Time, window time.Duration) int64 {
+func WindowIndex(at time.Time, window time.Duration) int64 {
 	return at.UnixNano() / int64(window)
 }
 
-func (u *Usage) key(window int64) string { return fmt.Sprintf("%s%d", u.Prefix, window) }
+func (u *UsageReporter) key(window int64) string { return fmt.Sprintf("%s%d", u.Prefix, window) }
 
-func (u *Usage) report(ctx context.Context, window int64) bool {
+func (u *UsageReporter) report(ctx context.Context, window int64) bool {
 	counts, ok := u.seal(ctx, window)
 	if !ok {
 		return false
@@ -143,7 +143,7 @@
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, CallLimit)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	err := u.Sender.ReportUsage(ctx, term, window, counts)
 	klog.InfoS("usage_report", "window", window, "fence", term.Fence, "counts", counts, "err", err)
@@ -152,13 +152,13 @@
 
 // seal fixes the counts of a window. ok is false while it is not known which
 // counts are fixed.
-func (u *Usage) seal(ctx context.Context, window int64) (map[string]int64, bool) {
+func (u *UsageReporter) seal(ctx context.Context, window int64) (map[string]int64, bool) {
 	counts := u.Ledger.Sum(window)
 	raw, err := json.Marshal(counts)
 	if err != nil {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, CallLimit)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	it, found, _, err := u.Store.Get(ctx, u.key(window))
 	if err != nil {
@@ -172,7 +172,7 @@
 		if err != nil {
 			return nil, false
 		}
-		if swap.Won {
+		if swap.Succeeded {
 			return counts, true
 		}
 		it = swap.Current
--- a/src/duty/usage_test.go
+++ b/src/duty/usage_test.go
@@ -27,8 +27,8 @@
 		}
 		l := NewLedger()
 		for _, i := range rapid.Permutation(indexes(len(all))).Draw(t, "order") {
-			l.Take(all[i].node, 1, 7, "customer", all[i].count)
-			l.Take(all[i].node, 1, 7, "customer", all[i].count) // told twice
+			l.Merge(all[i].node, 1, 7, "customer", all[i].count)
+			l.Merge(all[i].node, 1, 7, "customer", all[i].count) // told twice
 		}
 		if got := l.Sum(7)["customer"]; got != want["a"]+want["b"]+want["c"] {
 			t.Fatalf("sum %d of %v", got, want)
@@ -63,9 +63,9 @@
 	store := newMemoryStore()
 	clock := func() time.Time { return store.now }
 	sender := &recorder{reports: map[int64][]string{}, broken: true}
-	make := func(holder string, counted int64) *Usage {
-		u := &Usage{Ledger: NewLedger(), Lease: NewLease(store, "duty", holder, testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return true }}
-		u.Ledger.Take("n", 1, 200, "customer", counted)
+	make := func(holder string, counted int64) *UsageReporter {
+		u := &UsageReporter{Ledger: NewLedger(), Lease: NewLease(store, "duty", holder, testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return true }}
+		u.Ledger.Merge("n", 1, 200, "customer", counted)
 		return u
 	}
 	first, second := make("a", 10), make("b", 12) // b heard of two more runs
@@ -86,8 +86,8 @@
 	store := newMemoryStore()
 	clock := func() time.Time { return store.now }
 	sender := &recorder{reports: map[int64][]string{}}
-	u := &Usage{Ledger: NewLedger(), Lease: NewLease(store, "duty", "a", testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return true }}
-	u.Ledger.Take("n", 1, 200, "customer", 3)
+	u := &UsageReporter{Ledger: NewLedger(), Lease: NewLease(store, "duty", "a", testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return true }}
+	u.Ledger.Merge("n", 1, 200, "customer", 3)
 	store.now = time.Unix(1008, 0)
 	u.Lease.Step(context.Background(), false)
 	store.down = true
@@ -107,8 +107,8 @@
 	clock := func() time.Time { return store.now }
 	sender := &recorder{reports: map[int64][]string{}}
 	heard := false
-	u := &Usage{Ledger: NewLedger(), Lease: NewLease(store, "duty", "a", testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return heard }}
-	u.Ledger.Take("n", 1, 200, "customer", 3)
+	u := &UsageReporter{Ledger: NewLedger(), Lease: NewLease(store, "duty", "a", testTTL, clock), Store: store, Sender: sender, Prefix: "usage/", Window: 5 * time.Second, Late: 10 * time.Second, Clock: clock, AllHeard: func() bool { return heard }}
+	u.Ledger.Merge("n", 1, 200, "customer", 3)
 	store.now = time.Unix(1006, 0) // a second after the window's end
 	u.Lease.Step(context.Background(), false)
 	u.Step(context.Background())
--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -61,7 +61,7 @@
 	}
 	control := &http.Transport{DialContext: c.Control.Dial(dial), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 	c.stream = &http.Client{Transport: requests}
-	c.short = &http.Client{Transport: &conn.Kept{Transport: control}, Timeout: timeout}
+	c.short = &http.Client{Transport: &conn.StallDetectingTransport{Transport: control}, Timeout: timeout}
 	return c
 }
 
@@ -206,13 +206,13 @@
 }
 
 // Give sends an order; ErrFenced says that a newer planner gave one before.
-func (c *Client) Give(ctx context.Context, addr string, o Order) error {
+func (c *Client) SendOrder(ctx context.Context, addr string, o Order) error {
 	return c.do(ctx, http.MethodPost, addr, "/v1/orders", o, nil)
 }
 
 // Pull makes the engine at addr import a stream's KV cache from another
 // engine. It may take until ctx ends.
-func (c *Client) Pull(ctx context.Context, addr string, im Import) error {
+func (c *Client) ImportKV(ctx context.Context, addr string, im Import) error {
 	return c.send(ctx, c.stream, http.MethodPost, addr, "/v1/kv/import", im, nil)
 }
 
--- a/src/engine/wire.go
+++ b/src/engine/wire.go
@@ -9,33 +9,33 @@
 
 // Headers of the engines' API.
 const (
-	HeaderRequestID = "X-Request-Id"          // names the stream at the engine
-	HeaderLoad      = "endpoint-load-metrics" // ORCA, JSON form
-	LoadPrefix      = "JSON "
-	HeaderLeaving   = "X-Leaving-Deadline-Ms" // Unix ms; present when the engine is leaving
-	HeaderPulled    = "X-Pulled-Tokens"
+	HeaderRequestID    = "X-Request-Id"          // names the stream at the engine
+	HeaderLoad         = "endpoint-load-metrics" // ORCA, JSON form
+	LoadPrefix         = "JSON "
+	HeaderLeaving      = "X-Leaving-Deadline-Ms" // Unix ms; present when the engine is leaving
+	HeaderPulledTokens = "X-Pulled-Tokens"
 )
 
 // State is an engine's report; it lags behind the truth and tells by how much.
 type State struct {
-	Name         string       `json:"name"`
-	AtMS         int64        `json:"at_ms"` // Unix ms of the reading
-	Models       []Loaded     `json:"models"`
-	Loading      []string     `json:"loading"`
-	Running      int          `json:"running"`
-	Waiting      int          `json:"waiting"`
-	QueuedTokens int          `json:"queued_tokens"` // prompt tokens not yet prefilled
-	Slots        int          `json:"slots"`
-	PrefillTPS   float64      `json:"prefill_tps"`
-	StepMS       float64      `json:"step_ms"` // time between two tokens of a stream
-	LeavingMS    int64        `json:"leaving_ms"`
-	Epoch        int64        `json:"epoch"` // highest fencing token seen
-	CacheSeq     int64        `json:"cache_seq"`
-	Cache        []CacheEvent `json:"cache,omitempty"`
+	Name         string        `json:"name"`
+	AtMS         int64         `json:"at_ms"` // Unix ms of the reading
+	Models       []LoadedModel `json:"models"`
+	Loading      []string      `json:"loading"`
+	Running      int           `json:"running"`
+	Waiting      int           `json:"waiting"`
+	QueuedTokens int           `json:"queued_tokens"` // prompt tokens not yet prefilled
+	Slots        int           `json:"slots"`
+	PrefillTPS   float64       `json:"prefill_tps"`
+	StepMS       float64       `json:"step_ms"` // time between two tokens of a stream
+	LeavingMS    int64         `json:"leaving_ms"`
+	Epoch        int64         `json:"epoch"` // highest fencing token seen
+	CacheSeq     int64         `json:"cache_seq"`
+	Cache        []CacheEvent  `json:"cache,omitempty"`
 }
 
 // Loaded is a model or adapter that can be asked for.
-type Loaded struct {
+type LoadedModel struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -58,7 +58,7 @@
 func (n *Node) exchange(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeLimit)
 	defer cancel()
-	resp, err := n.pool.To(addr).Exchange(ctx, &peer.ExchangeRequest{Digest: n.digest()})
+	resp, err := n.pool.Client(addr).Exchange(ctx, &peer.ExchangeRequest{Digest: n.digest()})
 	n.called(addr, err)
 	if err != nil {
 		return
@@ -76,7 +76,7 @@
 	n.take(d)
 	out := &peer.ExchangeResponse{Digest: n.digest(), Complete: n.revision()}
 	if d.GetComplete() < out.Complete {
-		delta := n.view.Since(d.GetComplete())
+		delta := n.view.DeltaSince(d.GetComplete())
 		out.Complete, out.Whole = delta.Complete, delta.Whole
 		for _, it := range delta.Items {
 			out.Items = append(out.Items, &peer.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
@@ -109,11 +109,11 @@
 func (n *Node) digest() *peer.Digest {
 	now := time.Now()
 	n.limiter.SetLive(namesOf(n.fleet.Nodes()))
-	d := &peer.Digest{Node: n.self.Name, Incarnation: n.self.Incarnation, Complete: n.revision(), Inflight: int32(n.coord.Open())}
-	for _, dm := range append(n.limiter.Own(now), n.limiter.Sample(demandSample, now)...) {
+	d := &peer.Digest{Node: n.self.Name, Incarnation: n.self.Incarnation, Complete: n.revision(), Inflight: int32(n.coord.OpenRequests())}
+	for _, dm := range append(n.limiter.LocalDemand(now), n.limiter.Sample(demandSample, now)...) {
 		d.Demands = append(d.Demands, &peer.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float32(dm.Rate), AtMs: dm.At.UnixMilli()})
 	}
-	for name, at := range n.registry.LeavingList() {
+	for name, at := range n.registry.LeavingDeadlines() {
 		if len(d.Leaving) < leavingSample && time.Since(at) < time.Minute {
 			d.Leaving = append(d.Leaving, &peer.Leaving{Name: name, DeadlineMs: at.UnixMilli()})
 		}
@@ -127,14 +127,14 @@
 	}
 	n.fleet.Heard(d.Node, int(d.Inflight))
 	for _, dm := range d.Demands {
-		n.limiter.Heard(admit.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float64(dm.Rate), At: time.UnixMilli(dm.AtMs)})
+		n.limiter.MergeDemand(admit.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float64(dm.Rate), At: time.UnixMilli(dm.AtMs)})
 	}
 	n.takeLeaving(d.Leaving)
 }
 
 func (n *Node) takeLeaving(list []*peer.Leaving) {
 	for _, l := range list {
-		n.registry.Leave(l.Name, time.UnixMilli(l.DeadlineMs))
+		n.registry.MarkLeaving(l.Name, time.UnixMilli(l.DeadlineMs))
 	}
 }
 
@@ -174,7 +174,7 @@
 // called notes the result of a call to a peer; a first failure is passed on,
 // so that whoever writes the shard map hears of it.
 func (n *Node) called(addr string, err error) {
-	if silent := n.fleet.Called(addr, err == nil); silent != "" && n.fleet.Told(silent) {
+	if silent := n.fleet.RecordCall(addr, err == nil); silent != "" && n.fleet.RecordPeerSuspicion(silent) {
 		n.spread(news{suspect: silent})
 	}
 }
@@ -204,7 +204,7 @@
 func (n *Node) notify(ctx context.Context, addr string, batch *peer.NotifyRequest) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeLimit)
 	defer cancel()
-	_, err := n.pool.To(addr).Notify(ctx, batch)
+	_, err := n.pool.Client(addr).Notify(ctx, batch)
 	n.called(addr, err)
 }
 
@@ -212,7 +212,7 @@
 func (n *Node) Notify(_ context.Context, m *peer.NotifyRequest) (*peer.Empty, error) {
 	n.takeLeaving(m.Leaving)
 	for _, name := range m.Suspects {
-		if n.fleet.Told(name) {
+		if n.fleet.RecordPeerSuspicion(name) {
 			n.spread(news{suspect: name})
 		}
 	}
@@ -268,7 +268,7 @@
 func suspects(f *member.Fleet) []string {
 	var out []string
 	for _, o := range f.Nodes() {
-		if f.Suspect(o.Name) {
+		if f.RecentlyFailed(o.Name) {
 			out = append(out, o.Name)
 		}
 	}
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -85,7 +85,7 @@
 	keeper := claim.Node{Name: n.self.Name, Incarnation: n.self.Incarnation, Addr: n.self.Peers, FailureDomain: n.self.FailureDomain, VM: n.self.VM}
 	n.ledger = claim.NewLedger(keeper, claim.Limits{Window: set.Claims.Window, MaxRecords: set.Claims.Records, AnswerBytes: set.Claims.KeptBytes})
 	n.coord = &serve.Coordinator{
-		Self: keeper, Set: set, Fleet: n.fleet, Registry: n.registry, Pool: n.pool, Ledger: n.ledger, Attempts: claim.NewAttempts(),
+		Self: keeper, Settings: set, Fleet: n.fleet, Registry: n.registry, Pool: n.pool, Ledger: n.ledger, Attempts: claim.NewAttempts(),
 		Engines: engine.NewClient(engineDial, engineTimeout), Metrics: metrics, Limiter: n.limiter, Now: time.Now,
 	}
 	n.coord.Start()
@@ -117,7 +117,7 @@
 	go func() { n.registrar.Run(registered); close(removed) }()
 	for _, loop := range []func(context.Context){
 		func(ctx context.Context) { n.view.Follow(ctx, n.kv, view.Prefix) },
-		n.applyLoop, n.exchangeLoop, n.notifyLoop, n.mapLoop, n.gatherLoop, n.coord.Poll, n.sweepLoop, n.noticeLoop,
+		n.applyLoop, n.exchangeLoop, n.notifyLoop, n.mapLoop, n.gatherLoop, n.coord.PollEngines, n.sweepLoop, n.noticeLoop,
 	} {
 		go loop(life)
 	}
@@ -133,14 +133,14 @@
 	for _, s := range servers {
 		_ = s.Close()
 	}
-	klog.InfoS("stopped", "node", n.self.Name, "open", n.coord.Open())
+	klog.InfoS("stopped", "node", n.self.Name, "open", n.coord.OpenRequests())
 	return nil
 }
 
 // stop leaves in order: no longer listed, still serving what arrives for the
 // time promised, then refusing, until all requests have ended.
 func (n *Node) stop(deadline time.Time) {
-	klog.InfoS("leaving", "node", n.self.Name, "until", deadline.Format(time.RFC3339Nano), "open", n.coord.Open())
+	klog.InfoS("leaving", "node", n.self.Name, "until", deadline.Format(time.RFC3339Nano), "open", n.coord.OpenRequests())
 	n.callers.SetPhase(caller.Leaving)
 	n.registrar.SetLeaving()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -155,13 +155,13 @@
 	case <-time.After(time.Until(promised)):
 	}
 	n.callers.SetPhase(caller.Refusing)
-	n.coord.Wait(ctx)
+	n.coord.WaitIdle(ctx)
 	n.waitHandedOver(ctx)
 	// What is still open goes on elsewhere: its callers are told so now.
-	n.coord.End()
+	n.coord.CancelAll()
 	last, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
-	n.coord.Wait(last)
+	n.coord.WaitIdle(last)
 }
 
 // waitHandedOver waits until this node keeps no shard any more, or nobody is
@@ -178,7 +178,7 @@
 
 func (n *Node) heirs() bool {
 	for _, o := range n.fleet.Nodes() {
-		if o.Name != n.self.Name && !o.Leaving && n.fleet.SilentFor(o.Name) == 0 {
+		if o.Name != n.self.Name && !o.Leaving && n.fleet.FailingFor(o.Name) == 0 {
 			return true
 		}
 	}
@@ -210,7 +210,7 @@
 		count   *telemetry.Traffic
 	}{
 		{n.set.Listen.Callers, n.callers.Handler(), nil},
-		{n.set.Listen.Peers, peer.Guard(n.set.Secrets.Peer, peerServer), &n.peerIn},
+		{n.set.Listen.Peers, peer.RequireSecret(n.set.Secrets.Peer, peerServer), &n.peerIn},
 		{n.set.Listen.Operators, n.operatorHandler(), nil},
 	}
 	var servers []*http.Server
@@ -248,9 +248,9 @@
 		klog.ErrorS(nil, "broken_resource", "key", key)
 	}
 	n.coord.SetCatalog(snap)
-	var domains []upstream.Domain
+	var domains []upstream.DomainUpstreams
 	for _, it := range n.view.List(upstream.Prefix) {
-		if d, err := upstream.DecodeDomain(it.Value); err == nil {
+		if d, err := upstream.DecodeDomainUpstreams(it.Value); err == nil {
 			domains = append(domains, d)
 		}
 	}
@@ -281,7 +281,7 @@
 		case <-ctx.Done():
 			return
 		case shard := <-n.gather:
-			if !n.coord.Gather(ctx, shard) {
+			if !n.coord.SyncShard(ctx, shard) {
 				time.AfterFunc(200*time.Millisecond, func() {
 					select {
 					case n.gather <- shard:
@@ -296,7 +296,7 @@
 func (n *Node) sweepLoop(ctx context.Context) {
 	process.Every(ctx, sweepEvery, func() {
 		n.coord.Sweep()
-		n.registry.SetOthers(n.others())
+		n.registry.SetPeerLoadFactor(n.others())
 	})
 }
 
@@ -310,7 +310,7 @@
 			nodes++
 		}
 	}
-	times := min(float64(load)/float64(max(n.coord.Open(), 1)), float64(nodes))
+	times := min(float64(load)/float64(max(n.coord.OpenRequests(), 1)), float64(nodes))
 	engines := len(n.registry.Names(upstream.KindEngine))
 	if size := n.set.Routing.Subset; size > 0 && size < engines {
 		times *= float64(size) / float64(engines)
@@ -326,7 +326,7 @@
 	ctx, enough := context.WithCancel(ctx)
 	defer enough()
 	process.Every(ctx, noticeEvery, func() {
-		if deadline, ok, err := n.cloud.Notice(ctx, n.set.Node.VM); err == nil && ok {
+		if deadline, ok, err := n.cloud.ReclaimNotice(ctx, n.set.Node.VM); err == nil && ok {
 			n.stopping <- deadline
 			enough()
 		}
--- a/src/entry/operator.go
+++ b/src/entry/operator.go
@@ -16,24 +16,24 @@
 
 // State is the dump of a node: all that it knows, bounded.
 type State struct {
-	Node       member.Node         `json:"node"`
-	UptimeS    int64               `json:"uptime_s"`
-	Phase      int                 `json:"phase"` // 0 serving, 1 leaving, 2 refusing
-	Complete   int64               `json:"complete_revision"`
-	Source     string              `json:"complete_from"` // "kv" or "peer"
-	Versions   map[string]int64    `json:"versions"`
-	Nodes      []member.Node       `json:"nodes"`
-	Suspects   []string            `json:"suspects"`
-	Upstreams  []upstream.Dump     `json:"upstreams"`
-	Open       int                 `json:"open_requests"`
-	Retries    float64             `json:"retries_left"`
-	Requests   []serve.FlightDump  `json:"requests"`
-	Queues     []serve.QueueDump   `json:"queues"`
-	Shards     map[int]ShardState  `json:"shards_kept"`
-	Records    int                 `json:"records"`
-	MapShards  int                 `json:"map_shards"`
-	MapPassive int                 `json:"map_passive"`
-	Traffic    map[string][2]int64 `json:"control_bytes"` // by channel: in, out
+	Node             member.Node         `json:"node"`
+	UptimeS          int64               `json:"uptime_s"`
+	Phase            int                 `json:"phase"` // 0 serving, 1 leaving, 2 refusing
+	CompleteRevision int64               `json:"complete_revision"`
+	RevisionSource   string              `json:"complete_from"` // "kv" or "peer"
+	Versions         map[string]int64    `json:"versions"`
+	Nodes            []member.Node       `json:"nodes"`
+	Suspects         []string            `json:"suspects"`
+	Upstreams        []upstream.Dump     `json:"upstreams"`
+	OpenRequests     int                 `json:"open_requests"`
+	Retries          float64             `json:"retries_left"`
+	Requests         []serve.FlightDump  `json:"requests"`
+	Queues           []serve.QueueDump   `json:"queues"`
+	Shards           map[int]ShardState  `json:"shards_kept"`
+	Records          int                 `json:"records"`
+	MapShards        int                 `json:"map_shards"`
+	PassiveShards    int                 `json:"map_passive"`
+	Traffic          map[string][2]int64 `json:"control_bytes"` // by channel: in, out
 }
 
 // ShardState is a shard this node keeps.
@@ -45,9 +45,9 @@
 func (n *Node) state() State {
 	rev, src := n.view.Complete()
 	s := State{
-		Node: n.self, UptimeS: int64(time.Since(n.started).Seconds()), Phase: int(n.callers.Phase()), Complete: rev, Source: string(src),
+		Node: n.self, UptimeS: int64(time.Since(n.started).Seconds()), Phase: int(n.callers.Phase()), CompleteRevision: rev, RevisionSource: string(src),
 		Versions: map[string]int64{}, Nodes: n.fleet.Nodes(), Suspects: suspects(n.fleet), Upstreams: n.registry.Dumps(),
-		Open: n.coord.Open(), Retries: n.coord.Retries(), Requests: n.coord.Flights(), Queues: n.coord.Queues(),
+		OpenRequests: n.coord.OpenRequests(), Retries: n.coord.RetriesLeft(), Requests: n.coord.Flights(), Queues: n.coord.Queues(),
 		Shards: map[int]ShardState{}, Records: n.ledger.Expire(time.Now()),
 		Traffic: map[string][2]int64{
 			"kv":        {n.kvTraffic.In.Load(), n.kvTraffic.Out.Load()},
@@ -69,7 +69,7 @@
 	s.MapShards = len(m.Shards)
 	for i, def := range m.Shards {
 		if !def.Active {
-			s.MapPassive++
+			s.PassiveShards++
 		}
 		if r, ok := ready[i]; ok {
 			s.Shards[i] = ShardState{Epoch: def.Epoch, Ready: r}
--- a/src/entry/shardmap.go
+++ b/src/entry/shardmap.go
@@ -46,7 +46,7 @@
 		if o.Name == n.self.Name {
 			return true
 		}
-		if !o.Leaving && !n.fleet.Suspect(o.Name) {
+		if !o.Leaving && !n.fleet.RecentlyFailed(o.Name) {
 			return false
 		}
 	}
@@ -59,7 +59,7 @@
 	nodes := n.fleet.Nodes()
 	var due []member.Node
 	for _, o := range nodes {
-		if n.fleet.Doubtful(o.Name) {
+		if n.fleet.SuspectedByAny(o.Name) {
 			due = append(due, o)
 		}
 	}
@@ -85,7 +85,7 @@
 			continue
 		}
 		wg.Go(func() {
-			resp, err := n.pool.To(o.Peers).Inventory(ctx, &peer.InventoryRequest{Shards: shards})
+			resp, err := n.pool.Client(o.Peers).Inventory(ctx, &peer.InventoryRequest{Shards: shards})
 			n.called(o.Peers, err)
 			if err != nil {
 				return
@@ -112,7 +112,7 @@
 		if !n.mayStart(fleet) {
 			return
 		}
-		next = claim.Start(n.set.Claims.Shards, fleet)
+		next = claim.NewMap(n.set.Claims.Shards, fleet)
 	} else {
 		m, err := claim.DecodeMap(it.Value)
 		if err != nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	swap, err := n.kv.PutIf(ctx, claim.MapKey, next.Encode(), it.Revision, 0)
-	klog.InfoS("shard_map", "won", swap.Won, "revision", swap.Revision, "err", err)
+	klog.InfoS("shard_map", "won", swap.Succeeded, "revision", swap.Revision, "err", err)
 	if err == nil {
 		n.waitRevision(ctx, swap.Revision)
 	}
@@ -185,7 +185,7 @@
 func (n *Node) claimFleet(nodes []member.Node) claim.Fleet {
 	f := claim.Fleet{Live: map[string]claim.Node{}, NowMS: time.Now().UnixMilli(), Ready: func(claim.Node, int) int64 { return 0 }}
 	for _, o := range nodes {
-		if o.Leaving || n.fleet.SilentFor(o.Name) > n.set.Claims.Suspect {
+		if o.Leaving || n.fleet.FailingFor(o.Name) > n.set.Claims.Suspect {
 			continue
 		}
 		f.Live[o.Name] = claim.Node{Name: o.Name, Incarnation: o.Incarnation, Addr: o.Peers, FailureDomain: o.FailureDomain, VM: o.VM}
--- a/src/event/status.go
+++ b/src/event/status.go
@@ -39,7 +39,7 @@
 	Start, End time.Time
 	Lead       time.Duration // preparation begins so long before Start
 	Missing    []string      // what is not there yet, one reason each
-	Broken     []string      // what cannot come without a change or is refused
+	Blocked    []string      // what cannot come without a change or is refused
 	Now        time.Time
 }
 
@@ -51,12 +51,12 @@
 	case !f.Now.Before(f.End):
 		return Ended, nil
 	case f.Now.Before(f.Start.Add(-f.Lead)):
-		if len(f.Broken) > 0 {
-			return Degraded, f.Broken
+		if len(f.Blocked) > 0 {
+			return Degraded, f.Blocked
 		}
 		return Scheduled, nil
-	case len(f.Broken) > 0:
-		return Degraded, append(slices.Clone(f.Broken), f.Missing...)
+	case len(f.Blocked) > 0:
+		return Degraded, append(slices.Clone(f.Blocked), f.Missing...)
 	case len(f.Missing) > 0 && f.Now.Before(f.Start):
 		return Preparing, f.Missing
 	case len(f.Missing) > 0:
--- a/src/event/status_test.go
+++ b/src/event/status_test.go
@@ -29,7 +29,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := base
-			f.Now, f.Missing, f.Broken = start.Add(c.at), c.missing, c.broken
+			f.Now, f.Missing, f.Blocked = start.Add(c.at), c.missing, c.broken
 			got, reasons := PhaseOf(f)
 			is.Equal(got, c.want)
 			is.Equal(len(reasons) > 0, got == Degraded || got == Preparing) // it says why
--- a/src/gateway/ask.go
+++ b/src/gateway/ask.go
@@ -80,8 +80,8 @@
 		return nil, &refusal{status: http.StatusNotFound, code: codeNoRoute}
 	}
 	a := &ask{id: r.Header.Get(n.headers.RequestID), route: route, request: r, arrived: arrived, priority: route.Priority}
-	if table.Keyed() && !route.Public {
-		a.customer = table.CustomerOf(strings.TrimPrefix(r.Header.Get("Authorization"), n.headers.Scheme))
+	if table.RequiresKey() && !route.Public {
+		a.customer = table.CustomerByKey(strings.TrimPrefix(r.Header.Get("Authorization"), n.headers.Scheme))
 		if a.customer == nil {
 			return nil, &refusal{status: http.StatusUnauthorized, code: codeKey}
 		}
@@ -95,7 +95,7 @@
 	if refused := a.readBody(w, limits.BodyBytes); refused != nil {
 		return nil, refused
 	}
-	a.service = route.Pick(a.id)
+	a.service = route.PickService(a.id)
 	a.setTimes(r.Header.Get(n.headers.DeadlineMs))
 	a.setTokens(r.Header.Get(n.headers.Tokens))
 	a.parts = parseParts(r.Header.Get(n.headers.PromptParts))
@@ -164,12 +164,12 @@
 	switch {
 	case a.customer == nil:
 		return 0
-	case !a.customer.InTokens:
+	case !a.customer.LimitsTokens:
 		return 1
 	case a.hasTokens:
 		return float64(a.tokensIn + a.tokensOut)
 	}
-	return float64(a.customer.PlainTokens)
+	return float64(a.customer.DefaultTokens)
 }
 
 // unshared is the tokens of the prompt that no other request shares.
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -77,11 +77,11 @@
 	for _, s := range list {
 		listed[s.ID] = true
 		known := f.upstreams[s.ID]
-		if known != nil && (known.entry.Born != s.Born || known.address != s.Address) {
+		if known != nil && (known.entry.StartedMS != s.StartedMS || known.address != s.Address) {
 			over = append(over, s.ID)
 			known.end()
 			known.client.CloseIdleConnections()
-			klog.InfoS("server_born_again", "server", s.ID, "born", s.Born, "before", known.entry.Born, "requests", known.requests)
+			klog.InfoS("server_born_again", "server", s.ID, "born", s.StartedMS, "before", known.entry.StartedMS, "requests", known.requests)
 			known = nil
 		}
 		if known == nil {
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -13,7 +13,7 @@
 func TestUpstreamBornAgainBeginsAnew(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(time.Now)
-	entry := traffic.Upstream{ID: "i-1", Service: "s", Address: "10.0.0.1:1", Born: 1}
+	entry := traffic.Upstream{ID: "i-1", Service: "s", Address: "10.0.0.1:1", StartedMS: 1}
 	f.set([]traffic.Upstream{entry})
 	before := f.byService["s"][0]
 	is.True(f.leave(before))
@@ -21,7 +21,7 @@
 	f.failed(before, true)
 	f.set([]traffic.Upstream{entry})
 	is.Equal(len(f.candidates("s", nil)), 0) // the same life does not come back
-	entry.Born = 2
+	entry.StartedMS = 2
 	is.Equal(f.set([]traffic.Upstream{entry}), []string{"i-1"})
 	is.True(before.life.Err() != nil) // what it was sent is not answered any more
 	got := f.candidates("s", nil)
--- a/src/gateway/forward.go
+++ b/src/gateway/forward.go
@@ -49,7 +49,7 @@
 	f := &flight{n: n, a: a, reply: &reply{writer: w}, avoid: map[string]bool{}}
 	n.budget.Earn(a.service, a.arrived.Sub(n.began))
 	if unshared := a.unshared(); unshared > 0 {
-		n.scaler.meter(a.service).Ask(unshared, a.arrived)
+		n.scaler.meter(a.service).RecordPrompt(unshared, a.arrived)
 	}
 	for {
 		s, unread, ok := n.choose(a, f.avoid)
@@ -82,7 +82,7 @@
 	v := n.budget.Spend(f.a.service, n.roster.Count(), time.Since(n.began))
 	n.metrics.Retry(f.a.service, v.Granted, v.Nodes)
 	if !v.Granted {
-		f.inputs = []any{"budget_nodes", v.Nodes, "budget_requests", v.Requests, "budget_repeats", v.Repeats, "budget_allowed", v.Allowed}
+		f.inputs = []any{"budget_nodes", v.Nodes, "budget_requests", v.Requests, "budget_repeats", v.Retries, "budget_allowed", v.Allowed}
 	}
 	return v.Granted
 }
@@ -97,7 +97,7 @@
 	case f.reply.headSent && (!f.a.route.Resumable || f.reply.lastEvent == ""):
 		return false
 	}
-	return f.a.route.MayRepeat() && f.runs < f.a.route.MaxAttempts
+	return f.a.route.Retryable() && f.runs < f.a.route.MaxAttempts
 }
 
 // try sends to one server and relays its answer; done says that the client
@@ -105,7 +105,7 @@
 func (f *flight) try(ctx context.Context, s *upstream, unread int64) (done bool, err error) {
 	n, a := f.n, f.a
 	if f.sends == 0 {
-		n.metrics.Added(a.route.Name, time.Since(a.arrived))
+		n.metrics.AddedLatency(a.route.Name, time.Since(a.arrived))
 	}
 	f.sends++
 	f.unread, f.begun = unread, false
@@ -188,11 +188,11 @@
 func (f *flight) passing(s *upstream, began time.Time) {
 	n, a, now := f.n, f.a, time.Now()
 	if f.begun {
-		n.metrics.Gap(now.Sub(f.passed))
+		n.metrics.EventInterval(now.Sub(f.passed))
 	} else {
 		f.begun = true
 		if a.ahead < a.unshared()/aheadPart {
-			n.scaler.meter(a.service).Read(a.unshared(), now.Sub(began))
+			n.scaler.meter(a.service).RecordPrefill(a.unshared(), now.Sub(began))
 		}
 		n.beliefs.read(s.id, a.parts)
 		n.metrics.FirstEvent(a.route.Name, now.Sub(a.arrived))
--- a/src/gateway/node.go
+++ b/src/gateway/node.go
@@ -69,8 +69,8 @@
 	usage   *usageCounter
 	ledger  *duty.Ledger
 	lease   *duty.Lease
-	report  *duty.Usage
-	buyer   *capacity.Buyer
+	report  *duty.UsageReporter
+	buyer   *capacity.Provisioner
 	scaler  *scaler
 	beliefs *beliefs
 	silence silence
@@ -84,7 +84,7 @@
 	rngMu       sync.Mutex
 	rng         *rand.Rand
 	servers     []*http.Server
-	metrics     *telemetry.Gateway
+	metrics     *telemetry.GatewayMetrics
 	reloaded    atomic.Pointer[Settings]
 
 	entry   registration             // of the loop that registers, and of Run after it
@@ -93,7 +93,7 @@
 
 // New assembles a node.
 func New(set Settings, p Platform) (*Node, error) {
-	metrics, err := telemetry.NewGateway()
+	metrics, err := telemetry.NewGatewayMetrics()
 	if err != nil {
 		return nil, err
 	}
@@ -105,15 +105,15 @@
 		ledger: duty.NewLedger(), metrics: metrics, scaler: newScaler(), beliefs: newBeliefs(time.Now), began: now, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	n.usage = newUsageCounter(set.Duties.UsageWindow, n.agreed)
-	n.peers = &cluster.Node{Members: n.members, View: n.view, Own: n.record, Seeds: n.seeds, Entries: n.roster.Entries, NeedsAll: n.holdsDuty, OnSilent: n.connectionsSilent, Raise: n.raiseIncarnation}
+	n.peers = &cluster.Node{Members: n.members, View: n.view, Own: n.record, Seeds: n.seeds, Entries: n.roster.Entries, NeedsAllRecords: n.holdsDuty, OnStalledConn: n.connectionsSilent, RaiseIncarnation: n.raiseIncarnation}
 	n.incarnation.Store(now.UnixMicro())
 	n.peers.Start()
 	n.lease = duty.NewLease(n.store, leaseKey, set.Node, set.Duties.Lease, time.Now)
-	n.report = &duty.Usage{
+	n.report = &duty.UsageReporter{
 		Ledger: n.ledger, Lease: n.lease, Store: n.store, Sender: p, Prefix: usagePrefix,
 		Window: set.Duties.UsageWindow, Late: set.Duties.UsageLate, Clock: n.agreed, AllHeard: n.members.AllHeard,
 	}
-	n.buyer = &capacity.Buyer{Lease: n.lease, Sender: p, Now: time.Now}
+	n.buyer = &capacity.Provisioner{Lease: n.lease, Sender: p, Now: time.Now}
 	n.entry = registration{store: n.store, key: nodePrefix + set.Node, entry: nodeEntry{Peers: set.Listen.Peers, FailureDomain: set.FailureDomain}}
 	n.reloaded.Store(&set)
 	return n, n.gauges()
@@ -138,7 +138,7 @@
 	)
 }
 
-func (n *Node) agreed() time.Time { return n.members.Agreed(time.Now()) }
+func (n *Node) agreed() time.Time { return n.members.AgreedTime(time.Now()) }
 
 func (n *Node) stopping() bool { return n.stopAt.Load() != 0 }
 
@@ -252,8 +252,8 @@
 			inputs := []any{"customer", c.Name, "cost", a.cost(), "rate", c.Rate, "priority", a.priority, "members", n.roster.Count()}
 			return &refusal{status: http.StatusTooManyRequests, code: codeQuota, wait: wait, inputs: inputs}
 		}
-		if n.quota.Urgent(c.Name, c.Rate) {
-			n.peers.Nudge()
+		if n.quota.NeedsReport(c.Name, c.Rate) {
+			n.peers.TriggerExchange()
 		}
 	}
 	return n.forward(w, a)
@@ -344,7 +344,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(n.platform.Resolve(addresses, n.settings().AddressFor))
+	_ = json.NewEncoder(w).Encode(n.platform.Resolve(addresses, n.settings().AddressTTL))
 }
 
 // dump tells the process's whole state.
@@ -363,7 +363,7 @@
 	began := time.Now()
 	n.stopAt.Store(began.UnixNano())
 	klog.InfoS("stopping", "node", n.set.Node, "open", n.open.Load())
-	ctx, cancel := context.WithTimeout(context.Background(), duty.CallLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), duty.CallTimeout)
 	n.lease.Close(ctx)
 	cancel()
 	grace := n.settings().Grace
--- a/src/gateway/register.go
+++ b/src/gateway/register.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	swap, err := r.store.PutIf(ctx, r.key, raw, have.Revision, r.entry.Lease)
-	r.held = err == nil && swap.Won
+	r.held = err == nil && swap.Succeeded
 	return err
 }
 
@@ -115,5 +115,5 @@
 		}
 		out = append(out, cluster.Entry{Node: strings.TrimPrefix(it.Key, nodePrefix), FailureDomain: e.FailureDomain, Peers: e.Peers})
 	}
-	n.roster.Stored(out)
+	n.roster.SetStored(out)
 }
--- a/src/gateway/scale.go
+++ b/src/gateway/scale.go
@@ -22,23 +22,23 @@
 // scaler decides, at the holder of the duties, how many servers to order.
 type scaler struct {
 	mu     sync.Mutex
-	meters map[string]*capacity.Meter // of this node, by service
-	peaks  map[string]*capacity.Peak
+	meters map[string]*capacity.DemandMeter // of this node, by service
+	peaks  map[string]*capacity.RollingMax
 	asked  map[string]bool // whether there was demand at the last look
 	listed map[string]int  // most servers seen of a service before there was any demand
 }
 
 func newScaler() *scaler {
-	return &scaler{meters: map[string]*capacity.Meter{}, peaks: map[string]*capacity.Peak{}, listed: map[string]int{}, asked: map[string]bool{}}
+	return &scaler{meters: map[string]*capacity.DemandMeter{}, peaks: map[string]*capacity.RollingMax{}, listed: map[string]int{}, asked: map[string]bool{}}
 }
 
 // meter is this node's meter of a service.
-func (s *scaler) meter(service string) *capacity.Meter {
+func (s *scaler) meter(service string) *capacity.DemandMeter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.meters[service]
 	if m == nil {
-		m = &capacity.Meter{}
+		m = &capacity.DemandMeter{}
 		s.meters[service] = m
 	}
 	return m
@@ -50,7 +50,7 @@
 	defer s.mu.Unlock()
 	var out []*cluster.Demand
 	for service, m := range s.meters {
-		out = append(out, &cluster.Demand{Service: service, Tokens: float32(m.Tokens(now)), Reading: float32(m.Reading())})
+		out = append(out, &cluster.Demand{Service: service, Tokens: float32(m.TokenRate(now)), Reading: float32(m.PrefillRate())})
 	}
 	return out
 }
@@ -72,7 +72,7 @@
 		}
 		supply := capacity.SupplyOf(servers)
 		orders := capacity.Plan(name, *service.Scaling, n.need(service, servers), supply)
-		n.buyer.Step(ctx, *service.Scaling, orders, supply)
+		n.buyer.Reconcile(ctx, *service.Scaling, orders, supply)
 	}
 }
 
@@ -82,7 +82,7 @@
 	now := time.Now()
 	var tokens, reading, running, measured float64
 	for _, m := range n.members.All() {
-		if now.Sub(m.Heard) > cluster.LoadsFor {
+		if now.Sub(m.Heard) > cluster.LoadMaxAge {
 			continue
 		}
 		for _, d := range m.Record.Demands {
@@ -109,17 +109,17 @@
 	defer n.scaler.mu.Unlock()
 	peak := n.scaler.peaks[service.Name]
 	if peak == nil {
-		peak = &capacity.Peak{}
+		peak = &capacity.RollingMax{}
 		n.scaler.peaks[service.Name] = peak
 	}
 	klog.V(1).InfoS("demand", "service", service.Name, "tokens", tokens, "reading", reading, "running", running)
-	wanted := capacity.Servers(tokens, running, slots, reading)
+	wanted := capacity.RequiredServers(tokens, running, slots, reading)
 	if wanted == 0 || !n.scaler.asked[service.Name] {
 		// What is there stays for a while: the demand shows only with time.
-		n.scaler.listed[service.Name] = max(n.scaler.listed[service.Name], capacity.Standing(servers, n.set.FirstStart))
-		peak.Raise(n.scaler.listed[service.Name], now)
+		n.scaler.listed[service.Name] = max(n.scaler.listed[service.Name], capacity.InferredNeed(servers, n.set.FirstStart))
+		peak.Add(n.scaler.listed[service.Name], now)
 	}
 	n.scaler.asked[service.Name] = wanted > 0
 	early := now.Sub(n.began) < service.Scaling.Boot+listWait+spotComingBeyond
-	return capacity.Need{Servers: peak.Raise(wanted, now), SpotComing: wanted == 0 && n.set.FirstStart && early}
+	return capacity.Need{Servers: peak.Add(wanted, now), SpotPending: wanted == 0 && n.set.FirstStart && early}
 }
--- a/src/gateway/send.go
+++ b/src/gateway/send.go
@@ -78,7 +78,7 @@
 	}
 	n.fleet.keeps(s, answer.Header)
 	id := answer.Header.Get(n.headers.RequestID)
-	declined := answer.Header.Get(n.headers.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest
+	declined := answer.Header.Get(n.headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 	switch {
 	case id != "" && id != a.id:
 		err = errWrongAnswer
@@ -113,7 +113,7 @@
 	}).WithContext(ctx)
 	dropConnectionHeaders(out.Header)
 	for _, name := range []string{"Authorization", "Expect", "Content-Length", n.headers.Customer, n.headers.ContinueFrom, n.headers.FetchFrom} {
-		if name == "Authorization" && !n.table.Load().Keyed() {
+		if name == "Authorization" && !n.table.Load().RequiresKey() {
 			continue
 		}
 		out.Header.Del(name)
--- a/src/gateway/settings.go
+++ b/src/gateway/settings.go
@@ -20,7 +20,7 @@
 	Listen        Listeners
 	Seeds         []string      // peers' addresses that may be stale
 	Grace         time.Duration // from the signal to stop until the process is killed
-	AddressFor    time.Duration // how long clients may keep a list of addresses
+	AddressTTL    time.Duration // how long clients may keep a list of addresses
 	Retries       RetryLimits
 	Duties        DutyLimits
 	Quota         QuotaLimits
--- a/src/gateway/state.go
+++ b/src/gateway/state.go
@@ -54,19 +54,19 @@
 	for _, m := range n.members.All() {
 		n.roster.Heard(m.Record.Node, m.Heard)
 	}
-	if summary, hub, at, ok := n.members.Summary(); ok && !n.peers.Hub() {
+	if summary, hub, at, ok := n.members.Summary(); ok && !n.peers.IsHub() {
 		n.spreadSummary(summary, hub, at)
 		return
 	}
-	n.quota.SetNodes(n.roster.Others())
+	n.quota.SetPeers(n.roster.Others())
 	for _, m := range n.members.All() {
 		r := m.Record
 		if r.Node != n.set.Node {
-			n.quota.Heard(r.Node, r.Incarnation, totalsOf(r.Admitted), m.Heard)
+			n.quota.MergeTotals(r.Node, r.Incarnation, totalsOf(r.Admitted), m.Heard)
 		}
 	}
 	elsewhere := map[string]remoteLoad{}
-	for _, r := range n.members.Others(cluster.LoadsFor) {
+	for _, r := range n.members.Others(cluster.LoadMaxAge) {
 		for _, load := range r.Loads {
 			sum := elsewhere[load.Server]
 			sum.requests += int(load.Requests)
@@ -78,8 +78,8 @@
 }
 
 func (n *Node) spreadSummary(s *cluster.Summary, hub string, at time.Time) {
-	n.quota.SetSum(hub, max(int(s.Nodes), n.roster.Count())-1)
-	n.quota.Heard(hub, sumIncarnation, totalsOf(s.Admitted), at)
+	n.quota.SetAggregate(hub, max(int(s.Nodes), n.roster.Count())-1)
+	n.quota.MergeTotals(hub, sumIncarnation, totalsOf(s.Admitted), at)
 	elsewhere := make(map[string]remoteLoad, len(s.Heavy))
 	for _, load := range s.Heavy {
 		elsewhere[load.Server] = remoteLoad{int(load.Requests), load.UnreadTokens}
@@ -204,7 +204,7 @@
 func (n *Node) deafLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		before, _ := n.view.Complete()
-		if pause(ctx, backstopGrace) && !n.fed() && n.view.CutIfDeaf(before) {
+		if pause(ctx, backstopGrace) && !n.fed() && n.view.CancelStalledWatch(before) {
 			klog.InfoS("watch_cut", "complete", before)
 		}
 	}
@@ -235,7 +235,7 @@
 // needs no watch of its own.
 func (n *Node) fed() bool {
 	_, _, at, ok := n.members.Summary()
-	return ok && time.Since(at) < fedFor && n.peers.Large() && !n.peers.Hub()
+	return ok && time.Since(at) < fedFor && n.peers.UsesHubs() && !n.peers.IsHub()
 }
 
 // holdsDuty tells whether this node holds the lease of the duties.
@@ -247,7 +247,7 @@
 // mayLead tells whether this node tries for the lease of the duties: in a
 // large system the hubs do, and the others only when it stays free.
 func (n *Node) mayLead() bool {
-	return !n.peers.Large() || n.peers.Hub() || !n.fed() && time.Since(n.began) > leadAfter
+	return !n.peers.UsesHubs() || n.peers.IsHub() || !n.fed() && time.Since(n.began) > leadAfter
 }
 
 // dutyLoop keeps the lease and does what its holder does.
@@ -265,7 +265,7 @@
 func (n *Node) usageStep(ctx context.Context) {
 	for _, m := range n.members.All() {
 		for _, u := range m.Record.Usage {
-			n.ledger.Take(m.Record.Node, m.Record.Incarnation, u.Window, u.Customer, u.Count)
+			n.ledger.Merge(m.Record.Node, m.Record.Incarnation, u.Window, u.Customer, u.Count)
 		}
 	}
 	if n.set.Duties.Usage {
--- a/src/gateway/usage.go
+++ b/src/gateway/usage.go
@@ -28,7 +28,7 @@
 
 // count notes that a request of the customer begins to run now.
 func (u *usageCounter) count(customer string) {
-	window := duty.WindowOf(u.clock(), u.window)
+	window := duty.WindowIndex(u.clock(), u.window)
 	u.mu.Lock()
 	u.counts[usageCell{window, customer}]++
 	u.mu.Unlock()
@@ -36,7 +36,7 @@
 
 // recent returns the counts of the last windows and forgets older ones.
 func (u *usageCounter) recent() map[usageCell]int64 {
-	oldest := duty.WindowOf(u.clock(), u.window) - usageWindowsTold
+	oldest := duty.WindowIndex(u.clock(), u.window) - usageWindowsTold
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make(map[usageCell]int64, len(u.counts))
--- a/src/member/node.go
+++ b/src/member/node.go
@@ -16,8 +16,8 @@
 
 // Prefix is where node records stand; GoneKey lists VMs that run no more.
 const (
-	Prefix  = view.Prefix + "nodes/"
-	GoneKey = view.Prefix + "gone"
+	Prefix           = view.Prefix + "nodes/"
+	TerminatedVMsKey = view.Prefix + "gone"
 )
 
 // Node is a node's record.
@@ -79,7 +79,7 @@
 		}
 	}
 	gone := map[string]bool{}
-	if it, ok := v.Get(GoneKey); ok {
+	if it, ok := v.Get(TerminatedVMsKey); ok {
 		var names []string
 		_ = json.Unmarshal(it.Value, &names)
 		for _, n := range names {
@@ -143,7 +143,7 @@
 
 // Called notes the result of a call to the node at a peer address. When it is
 // the first failure since a success, it returns the node's name.
-func (f *Fleet) Called(addr string, ok bool) (silent string) {
+func (f *Fleet) RecordCall(addr string, ok bool) (silent string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := ""
@@ -170,7 +170,7 @@
 }
 
 // Told notes that another node suspects a node; true when that is news.
-func (f *Fleet) Told(name string) bool {
+func (f *Fleet) RecordPeerSuspicion(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, known := f.told[name]
@@ -179,7 +179,7 @@
 }
 
 // Doubtful tells whether this node or others suspected the node lately.
-func (f *Fleet) Doubtful(name string) bool {
+func (f *Fleet) SuspectedByAny(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, failed := f.failed[name]; failed {
@@ -191,7 +191,7 @@
 
 // Suspect tells whether calls to the node failed lately. It steers work; it
 // never decides who may run a request.
-func (f *Fleet) Suspect(name string) bool {
+func (f *Fleet) RecentlyFailed(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.latest[name]
@@ -199,7 +199,7 @@
 }
 
 // SilentFor tells for how long calls to the node have failed without one success.
-func (f *Fleet) SilentFor(name string) time.Duration {
+func (f *Fleet) FailingFor(name string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.failed[name]
--- a/src/member/register.go
+++ b/src/member/register.go
@@ -105,10 +105,10 @@
 		return err
 	}
 	swap, err := r.kv.PutIf(ctx, r.node.Key(), raw, have.Revision, lease)
-	if err == nil && swap.Won {
+	if err == nil && swap.Succeeded {
 		r.known = string(raw)
 	}
-	if err == nil && !swap.Won {
+	if err == nil && !swap.Succeeded {
 		return errors.New("record was changed meanwhile")
 	}
 	return err
--- a/src/openai/openai.go
+++ b/src/openai/openai.go
@@ -84,15 +84,15 @@
 // Request is a chat or text completion: the fields the system acts on, and
 // all fields as they came.
 type Request struct {
-	Chat        bool
-	Model       string
-	Prompt      string
-	Messages    []Message
-	Stream      bool
-	WithUsage   bool
-	MaxTokens   int
-	Temperature *float64
-	Fields      map[string]json.RawMessage
+	Chat         bool
+	Model        string
+	Prompt       string
+	Messages     []Message
+	Stream       bool
+	IncludeUsage bool
+	MaxTokens    int
+	Temperature  *float64
+	Fields       map[string]json.RawMessage
 }
 
 // Done is the data of the event that ends a stream.
--- a/src/openai/request.go
+++ b/src/openai/request.go
@@ -38,7 +38,7 @@
 		return Request{}, invalid("the body is not valid JSON for this call: %v", err)
 	}
 	req := Request{Chat: chat, Model: k.Model, Stream: k.Stream, Temperature: k.Temperature, MaxTokens: DefaultMaxTokens}
-	req.WithUsage = k.StreamOptions != nil && k.StreamOptions.IncludeUsage
+	req.IncludeUsage = k.StreamOptions != nil && k.StreamOptions.IncludeUsage
 	if err := json.Unmarshal(body, &req.Fields); err != nil {
 		return Request{}, invalid("the body is not a JSON object: %v", err)
 	}
@@ -102,7 +102,7 @@
 }
 
 // Text is the prompt as one string, by which prefixes are compared.
-func (r *Request) Text() string {
+func (r *Request) PromptText() string {
 	if !r.Chat {
 		return r.Prompt
 	}
@@ -120,7 +120,7 @@
 // Body builds the request for an engine: streamed, with usage, continuing
 // after the text already given, for the tokens still owed. seed makes the
 // answer the same at every engine that honours it.
-func (r *Request) Body(given string, givenTokens, priority int, seed int64) []byte {
+func (r *Request) EngineBody(given string, givenTokens, priority int, seed int64) []byte {
 	out := make(map[string]any, len(r.Fields)+8)
 	for name, raw := range r.Fields {
 		out[name] = raw
--- a/src/operator/server.go
+++ b/src/operator/server.go
@@ -36,12 +36,12 @@
 	store   *Store
 	view    *view.View
 	fleet   *member.Fleet
-	inForce func(ctx context.Context, version int64) InForce
+	inForce func(ctx context.Context, version int64) RolloutStatus
 	explain func(subject string) []telemetry.Decision
 }
 
 // InForce tells on which live nodes a version is in force.
-type InForce struct {
+type RolloutStatus struct {
 	Version int64    `json:"version"`
 	Nodes   int      `json:"nodes"`
 	Have    int      `json:"have"`
@@ -49,7 +49,7 @@
 }
 
 // NewServer returns the surface. inForce asks the nodes, explain the planner's journal.
-func NewServer(s *Store, v *view.View, f *member.Fleet, inForce func(context.Context, int64) InForce, explain func(string) []telemetry.Decision) *Server {
+func NewServer(s *Store, v *view.View, f *member.Fleet, inForce func(context.Context, int64) RolloutStatus, explain func(string) []telemetry.Decision) *Server {
 	return &Server{store: s, view: v, fleet: f, inForce: inForce, explain: explain}
 }
 
@@ -83,7 +83,7 @@
 }
 
 func kindOf(w http.ResponseWriter, r *http.Request) (catalog.Kind, bool) {
-	kind, ok := catalog.KnownKind(mux.Vars(r)["kind"])
+	kind, ok := catalog.ParseKind(mux.Vars(r)["kind"])
 	if !ok {
 		reply(w, http.StatusNotFound, Problem{Error: "there is no kind " + mux.Vars(r)["kind"], Hint: fmt.Sprintf("kinds are %v", catalog.Kinds)})
 	}
@@ -210,10 +210,10 @@
 			p.Current = &res
 		}
 		reply(w, http.StatusPreconditionFailed, p)
-	case errors.Is(err, ErrDown):
+	case errors.Is(err, ErrStoreUnavailable):
 		w.Header().Set(headerOutcome, string(request.NotRun))
 		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(retryDown).Seconds())+1))
-		reply(w, http.StatusServiceUnavailable, Problem{Error: ErrDown.Error(), Hint: "nothing was changed; try again after Retry-After"})
+		reply(w, http.StatusServiceUnavailable, Problem{Error: ErrStoreUnavailable.Error(), Hint: "nothing was changed; try again after Retry-After"})
 	default:
 		w.Header().Set(headerOutcome, string(request.MayHaveRun))
 		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(retryDown).Seconds())+1))
@@ -243,7 +243,7 @@
 func (s *Server) upstreams(w http.ResponseWriter, _ *http.Request) {
 	out := []upstream.Published{}
 	for _, it := range s.view.List(upstream.Prefix) {
-		if d, err := upstream.DecodeDomain(it.Value); err == nil {
+		if d, err := upstream.DecodeDomainUpstreams(it.Value); err == nil {
 			out = append(out, d.Upstreams...)
 		}
 	}
--- a/src/operator/store.go
+++ b/src/operator/store.go
@@ -18,9 +18,9 @@
 
 // Errors of a change.
 var (
-	ErrConflict = errors.New("the resource was changed by somebody else")
-	ErrUnsure   = errors.New("whether the change took effect is not known")
-	ErrDown     = errors.New("the change was not made: the key-value service is unavailable")
+	ErrConflict         = errors.New("the resource was changed by somebody else")
+	ErrOutcomeUnknown   = errors.New("whether the change took effect is not known")
+	ErrStoreUnavailable = errors.New("the change was not made: the key-value service is unavailable")
 )
 
 const (
@@ -54,7 +54,7 @@
 		item, exists, _, err := s.kv.Get(ctx, key)
 		if err != nil {
 			if !tried {
-				return r, oops.Wrap(errors.Join(ErrDown, err))
+				return r, oops.Wrap(errors.Join(ErrStoreUnavailable, err))
 			}
 			continue
 		}
@@ -65,13 +65,13 @@
 		r.Changes = lastChanges(append(slices.Clone(have.Changes), change))
 		tried = true
 		swap, err := s.kv.PutIf(ctx, key, r.Encode(), version, 0)
-		if err == nil && swap.Won {
+		if err == nil && swap.Succeeded {
 			r.Version = swap.Revision
 			return r, s.await(ctx, r.Version, nil)
 		}
 		// Lost the race, or lost the answer: the next reading tells which.
 	}
-	return r, oops.Wrap(ErrUnsure)
+	return r, oops.Wrap(ErrOutcomeUnknown)
 }
 
 // standing compares what is stored with what the writer expects: done when
@@ -104,7 +104,7 @@
 		item, exists, rev, err := s.kv.Get(ctx, key)
 		switch {
 		case err != nil && !tried:
-			return catalog.Resource{}, oops.Wrap(errors.Join(ErrDown, err))
+			return catalog.Resource{}, oops.Wrap(errors.Join(ErrStoreUnavailable, err))
 		case err != nil:
 			continue
 		case !exists && tried:
@@ -116,11 +116,11 @@
 		}
 		tried = true
 		swap, err := s.kv.DeleteIf(ctx, key, version)
-		if err == nil && swap.Won {
+		if err == nil && swap.Succeeded {
 			return catalog.Resource{Kind: kind, Name: name, Version: swap.Revision}, s.await(ctx, swap.Revision, nil)
 		}
 	}
-	return catalog.Resource{}, oops.Wrap(ErrUnsure)
+	return catalog.Resource{}, oops.Wrap(ErrOutcomeUnknown)
 }
 
 // await gives this process's view a moment to hold the write, so that a
--- a/src/operator/watch.go
+++ b/src/operator/watch.go
@@ -43,7 +43,7 @@
 	begun := false
 	for {
 		changed := s.view.Changed()
-		items, complete, ok := s.view.Log(from)
+		items, complete, ok := s.view.ChangesSince(from)
 		if !ok {
 			s.tooOld(w, begun)
 			return
--- a/src/peer/convert.go
+++ b/src/peer/convert.go
@@ -3,52 +3,52 @@
 import "github.com/crankridge/crankridge/src/claim"
 
 // FromAttempt gives the message form of an attempt.
-func FromAttempt(a claim.Attempt) *Attempt {
+func AttemptToProto(a claim.Attempt) *Attempt {
 	return &Attempt{Id: a.ID, Node: a.Node, Incarnation: a.Incarnation, PeerAddr: a.Addr, Engine: a.Engine, Stream: a.Stream}
 }
 
 // ToAttempt reads the message form of an attempt.
-func ToAttempt(a *Attempt) claim.Attempt {
+func AttemptFromProto(a *Attempt) claim.Attempt {
 	return claim.Attempt{ID: a.GetId(), Node: a.GetNode(), Incarnation: a.GetIncarnation(), Addr: a.GetPeerAddr(), Engine: a.GetEngine(), Stream: a.GetStream()}
 }
 
 // FromRecord gives the message form of a record; nil stays nil.
-func FromRecord(r *claim.Record) *Record {
+func RecordToProto(r *claim.Record) *Record {
 	if r == nil {
 		return nil
 	}
 	out := &Record{Key: r.Key, Digest: r.Digest, Repeatable: r.Repeatable, Answer: r.Answer, CreatedMs: r.CreatedMS}
 	for _, a := range r.Attempts {
-		out.Attempts = append(out.Attempts, FromAttempt(a))
+		out.Attempts = append(out.Attempts, AttemptToProto(a))
 	}
 	return out
 }
 
 // ToRecord reads the message form of a record; nil stays nil.
-func ToRecord(r *Record) *claim.Record {
+func RecordFromProto(r *Record) *claim.Record {
 	if r == nil {
 		return nil
 	}
 	out := &claim.Record{Key: r.Key, Digest: r.Digest, Repeatable: r.Repeatable, Answer: r.Answer, CreatedMS: r.CreatedMs}
 	for _, a := range r.Attempts {
-		out.Attempts = append(out.Attempts, ToAttempt(a))
+		out.Attempts = append(out.Attempts, AttemptFromProto(a))
 	}
 	return out
 }
 
 // FromClaim gives the message form of a claim.
-func FromClaim(c claim.Claim) *ClaimRequest {
+func ClaimToProto(c claim.Claim) *ClaimRequest {
 	return &ClaimRequest{
 		Shard: int32(c.Shard), Epoch: c.Epoch, Key: c.Key, Digest: c.Digest,
-		Attempt: FromAttempt(c.Attempt), Repeatable: c.Repeatable, Superseded: c.Superseded,
+		Attempt: AttemptToProto(c.Attempt), Repeatable: c.Repeatable, Superseded: c.Superseded,
 	}
 }
 
 // ToClaim reads the message form of a claim.
-func ToClaim(c *ClaimRequest) claim.Claim {
+func ClaimFromProto(c *ClaimRequest) claim.Claim {
 	return claim.Claim{
 		Shard: int(c.Shard), Epoch: c.Epoch, Key: c.Key, Digest: c.Digest,
-		Attempt: ToAttempt(c.Attempt), Repeatable: c.Repeatable, Superseded: c.Superseded,
+		Attempt: AttemptFromProto(c.Attempt), Repeatable: c.Repeatable, Superseded: c.Superseded,
 	}
 }
 
@@ -58,14 +58,14 @@
 }
 
 // FromReply gives the message form of a keeper's reply.
-func FromReply(r claim.Reply) *ClaimResponse {
-	return &ClaimResponse{Verdict: verdicts[r.Verdict], Epoch: r.Epoch, Held: FromRecord(r.Held)}
+func ReplyToProto(r claim.Reply) *ClaimResponse {
+	return &ClaimResponse{Verdict: verdicts[r.Verdict], Epoch: r.Epoch, Held: RecordToProto(r.Held)}
 }
 
 // ToReply reads the message form of a keeper's reply. A verdict that is not
 // known counts as not ready, which grants nothing.
-func ToReply(r *ClaimResponse) claim.Reply {
-	out := claim.Reply{Verdict: claim.NotReady, Epoch: r.Epoch, Held: ToRecord(r.Held)}
+func ReplyFromProto(r *ClaimResponse) claim.Reply {
+	out := claim.Reply{Verdict: claim.NotReady, Epoch: r.Epoch, Held: RecordFromProto(r.Held)}
 	for v, msg := range verdicts {
 		if msg == r.Verdict {
 			out.Verdict = v
--- a/src/peer/pool.go
+++ b/src/peer/pool.go
@@ -36,12 +36,12 @@
 		MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleTimeout,
 		DialContext: p.Traffic.Dial(dialTimeout), DisableCompression: true,
 	}
-	p.client = &http.Client{Transport: withSecret{secret, &conn.Kept{Transport: tr}}, Timeout: callTimeout}
+	p.client = &http.Client{Transport: withSecret{secret, &conn.StallDetectingTransport{Transport: tr}}, Timeout: callTimeout}
 	return p
 }
 
 // To returns the client of the peer at addr (host:port).
-func (p *Pool) To(addr string) Peer {
+func (p *Pool) Client(addr string) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.peers[addr]
@@ -66,7 +66,7 @@
 }
 
 // Guard lets only requests with the secret through.
-func Guard(secret string, next http.Handler) http.Handler {
+func RequireSecret(secret string, next http.Handler) http.Handler {
 	want := []byte(bearer + secret)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(headerSecret)), want) != 1 {
--- a/src/plan/count.go
+++ b/src/plan/count.go
@@ -37,7 +37,7 @@
 
 func (b *builder) coming(i Intent) {
 	if n := b.needs[i.Model]; n != nil {
-		n.Coming[i.Offer.FailureDomain]++
+		n.Pending[i.Offer.FailureDomain]++
 	}
 }
 
@@ -96,7 +96,7 @@
 		b.loadAdapters(e, st)
 		return
 	}
-	n.Coming[vm.FailureDomain]++
+	n.Pending[vm.FailureDomain]++
 	if !slices.Contains(st.Loading, e.model) {
 		b.load(e, e.model)
 	}
@@ -106,14 +106,14 @@
 func (b *builder) loadAdapters(e *engineVM, st engine.State) {
 	for _, name := range slices.Sorted(maps.Keys(b.in.Catalog.Adapters)) {
 		a := b.in.Catalog.Adapters[name].Adapter
-		item := engine.Loaded{Name: name, Version: a.Version}
+		item := engine.LoadedModel{Name: name, Version: a.Version}
 		if a.Model == e.model && !slices.Contains(st.Models, item) && !slices.Contains(st.Loading, name) {
-			b.out.Load = append(b.out.Load, Load{e.vm.Name, e.vm.Address, item, a.Bytes})
+			b.out.Load = append(b.out.Load, EngineOrder{e.vm.Name, e.vm.Address, item, a.Bytes})
 		}
 	}
 }
 
 func (b *builder) load(e *engineVM, model string) {
 	m := b.in.Catalog.Models[model].Model
-	b.out.Load = append(b.out.Load, Load{e.vm.Name, e.vm.Address, engine.Loaded{Name: model, Version: m.Version}, m.Bytes})
+	b.out.Load = append(b.out.Load, EngineOrder{e.vm.Name, e.vm.Address, engine.LoadedModel{Name: model, Version: m.Version}, m.Bytes})
 }
--- a/src/plan/place.go
+++ b/src/plan/place.go
@@ -17,7 +17,7 @@
 
 func (n *Need) all() map[string]int {
 	out := maps.Clone(n.Ready)
-	for d, c := range n.Coming {
+	for d, c := range n.Pending {
 		out[d] += c
 	}
 	return out
@@ -28,12 +28,12 @@
 	if n.Servers == 0 {
 		return
 	}
-	for Left(n.all(), b.in.Params.Spread) < n.Servers {
+	for ServersAfterDomainLoss(n.all(), b.in.Params.SpreadDomains) < n.Servers {
 		domain, ok := b.place(n)
 		if !ok {
 			return
 		}
-		n.Coming[domain]++
+		n.Pending[domain]++
 	}
 }
 
@@ -58,7 +58,7 @@
 		if e := b.yielding(n, d); e != nil {
 			lower := b.needs[e.model]
 			lower.Ready[d]--
-			b.out.Unload = append(b.out.Unload, Load{VM: e.vm.Name, Addr: e.vm.Address, Item: engine.Loaded{Name: e.model}})
+			b.out.Unload = append(b.out.Unload, EngineOrder{VM: e.vm.Name, Addr: e.vm.Address, Model: engine.LoadedModel{Name: e.model}})
 			e.model = n.Model
 			b.load(e, n.Model)
 			return d, true
@@ -79,7 +79,7 @@
 		set[e.vm.FailureDomain] = true
 	}
 	out := slices.Sorted(maps.Keys(set))
-	if !b.in.Params.Spread {
+	if !b.in.Params.SpreadDomains {
 		return out
 	}
 	slices.SortStableFunc(out, func(x, y string) int { return have[x] - have[y] })
@@ -126,13 +126,13 @@
 // offer is the best VM to buy in a domain, by price and by what its loss
 // would cost: the more latency counts, the more a likely reclaim weighs.
 func (b *builder) offer(n *Need, domain string) (ports.Offer, bool) {
-	if len(b.intents) >= b.in.Params.Most {
+	if len(b.intents) >= b.in.Params.MaxVMs {
 		return ports.Offer{}, false
 	}
 	class := b.in.Catalog.Models[n.Model].Model.Class
 	var fits []ports.Offer
 	for _, o := range b.in.Offers {
-		at, refused := b.in.Refused[KeyOf(o)]
+		at, refused := b.in.Refused[OfferKeyOf(o)]
 		if o.FailureDomain != domain || class != "" && o.Class != class || b.in.Params.OnDemand && o.Reclaimable {
 			continue
 		}
@@ -146,7 +146,7 @@
 		return ports.Offer{}, false
 	}
 	return slices.MinFunc(fits, func(x, y ports.Offer) int {
-		return cmp.Or(cmp.Compare(Score(x, n.Cost), Score(y, n.Cost)), cmp.Compare(x.Class, y.Class))
+		return cmp.Or(cmp.Compare(Score(x, n.CostWeight), Score(y, n.CostWeight)), cmp.Compare(x.Class, y.Class))
 	}), true
 }
 
--- a/src/plan/plan.go
+++ b/src/plan/plan.go
@@ -35,13 +35,13 @@
 
 // Params are the planner's settings.
 type Params struct {
-	Prefix      string
-	Most        int // VMs bought at most
-	WeightsRate float64
-	Boot        time.Duration
-	Margin      time.Duration
-	Spread      bool
-	OnDemand    bool // buy on-demand VMs only
+	Prefix                string
+	MaxVMs                int // VMs bought at most
+	WeightsBytesPerSecond float64
+	BootTime              time.Duration
+	Margin                time.Duration
+	SpreadDomains         bool
+	OnDemand              bool // buy on-demand VMs only
 }
 
 // OfferKey names an offer.
@@ -52,7 +52,7 @@
 }
 
 // KeyOf names an offer.
-func KeyOf(o ports.Offer) OfferKey { return OfferKey{o.Class, o.FailureDomain, o.Reclaimable} }
+func OfferKeyOf(o ports.Offer) OfferKey { return OfferKey{o.Class, o.FailureDomain, o.Reclaimable} }
 
 const (
 	refusedFor   = 5 * time.Second // a refused offer is not asked again sooner
@@ -66,16 +66,16 @@
 	Intents   []Intent // the whole list to be stored before anything else
 	Buy       []Intent
 	Terminate []string // VM names
-	Load      []Load
-	Unload    []Load
+	Load      []EngineOrder
+	Unload    []EngineOrder
 }
 
 // Load is an order to an engine.
-type Load struct {
-	VM   string
-	Addr string
-	Item engine.Loaded
-	Size int64
+type EngineOrder struct {
+	VM    string
+	Addr  string
+	Model engine.LoadedModel
+	Bytes int64
 }
 
 // Result is a plan.
@@ -86,17 +86,17 @@
 
 // Need is what a model needs and has.
 type Need struct {
-	Model    string         `json:"model"`
-	Servers  int            `json:"servers"` // that must be left when any one failure domain is lost
-	Priority int            `json:"priority"`
-	Cost     float64        `json:"cost_weight"` // of cost against latency, 0 to 1
-	Ready    map[string]int `json:"ready"`       // by failure domain
-	Coming   map[string]int `json:"coming"`      // booting or loading, by failure domain
-	Refused  []string       `json:"refused,omitempty"`
+	Model      string         `json:"model"`
+	Servers    int            `json:"servers"` // that must be left when any one failure domain is lost
+	Priority   int            `json:"priority"`
+	CostWeight float64        `json:"cost_weight"` // of cost against latency, 0 to 1
+	Ready      map[string]int `json:"ready"`       // by failure domain
+	Pending    map[string]int `json:"coming"`      // booting or loading, by failure domain
+	Refused    []string       `json:"refused,omitempty"`
 }
 
 // Left is how many servers would be left if the worst failure domain were lost.
-func Left(byDomain map[string]int, spread bool) int {
+func ServersAfterDomainLoss(byDomain map[string]int, spread bool) int {
 	total, most := 0, 0
 	for _, n := range byDomain {
 		total += n
@@ -109,7 +109,7 @@
 }
 
 // Lead is how long before its start an event is prepared.
-func Lead(ev *catalog.Event, models map[string]catalog.Resource, p Params) time.Duration {
+func LeadTime(ev *catalog.Event, models map[string]catalog.Resource, p Params) time.Duration {
 	bytes := 0.0
 	for _, m := range ev.Models {
 		if r, ok := models[m.Name]; ok {
@@ -117,11 +117,11 @@
 			bytes += float64(r.Model.Bytes) * float64(m.Servers+1)
 		}
 	}
-	return p.Boot + time.Duration(bytes/p.WeightsRate*float64(time.Second)) + p.Margin
+	return p.BootTime + time.Duration(bytes/p.WeightsBytesPerSecond*float64(time.Second)) + p.Margin
 }
 
 // Make makes the plan.
-func Make(in Input) Result {
+func Compute(in Input) Result {
 	b := newBuilder(in)
 	b.count()
 	for _, need := range b.byPriority() {
@@ -146,7 +146,7 @@
 		b.intents[i.Name] = i
 	}
 	for name, m := range in.Catalog.Models {
-		b.needs[name] = &Need{Model: name, Servers: m.Model.Servers, Ready: map[string]int{}, Coming: map[string]int{}}
+		b.needs[name] = &Need{Model: name, Servers: m.Model.Servers, Ready: map[string]int{}, Pending: map[string]int{}}
 	}
 	for _, ev := range in.Catalog.Events {
 		b.addEvent(ev.Event)
@@ -155,7 +155,7 @@
 }
 
 func (b *builder) addEvent(ev *catalog.Event) {
-	lead := Lead(ev, b.in.Catalog.Models, b.in.Params)
+	lead := LeadTime(ev, b.in.Catalog.Models, b.in.Params)
 	if b.in.Now.Before(ev.Start.Add(-lead)) || !b.in.Now.Before(ev.End) {
 		return
 	}
@@ -163,7 +163,7 @@
 		if n := b.needs[m.Name]; n != nil {
 			n.Servers += m.Servers
 			n.Priority = max(n.Priority, ev.Priority+1)
-			n.Cost = ev.CostWeight
+			n.CostWeight = ev.CostWeight
 		}
 	}
 }
--- a/src/plan/plan_test.go
+++ b/src/plan/plan_test.go
@@ -45,7 +45,7 @@
 func input(domains int, list ...catalog.Resource) Input {
 	return Input{
 		Catalog: snapshot(list...), Offers: offersIn(domains), Engines: map[string]engine.State{}, Refused: map[OfferKey]time.Time{}, Now: now,
-		Params: Params{Prefix: "cr", Most: 200, WeightsRate: 1e9, Spread: true},
+		Params: Params{Prefix: "cr", MaxVMs: 200, WeightsBytesPerSecond: 1e9, SpreadDomains: true},
 	}
 }
 
@@ -76,17 +76,17 @@
 		in.Engines[l.VM] = engine.State{}
 	}
 	for _, l := range r.Actions.Load {
-		in.Engines[l.VM] = engine.State{Models: []engine.Loaded{l.Item}}
+		in.Engines[l.VM] = engine.State{Models: []engine.LoadedModel{l.Model}}
 	}
 	in.Now = in.Now.Add(time.Second)
 	return in
 }
 
 func settled(in Input) (Input, Result) {
-	r := Make(in)
+	r := Compute(in)
 	for range 6 {
 		in = settle(in, r)
-		r = Make(in)
+		r = Compute(in)
 	}
 	return in, r
 }
@@ -96,7 +96,7 @@
 		servers := rapid.IntRange(1, 12).Draw(t, "servers")
 		domains := rapid.IntRange(2, 7).Draw(t, "domains")
 		in, r := settled(input(domains, model("m", servers)))
-		if left := Left(r.Needs["m"].Ready, true); left < servers {
+		if left := ServersAfterDomainLoss(r.Needs["m"].Ready, true); left < servers {
 			t.Fatalf("%d of %d left", left, servers)
 		}
 		ideal := (servers*domains + domains - 2) / (domains - 1)
@@ -114,7 +114,7 @@
 		if len(a.Buy)+len(a.Terminate)+len(a.Load)+len(a.Unload) != 0 {
 			t.Fatalf("still acting: %+v", a)
 		}
-		if again := Make(in); fmt.Sprint(again.Actions) != fmt.Sprint(a) {
+		if again := Compute(in); fmt.Sprint(again.Actions) != fmt.Sprint(a) {
 			t.Fatal("two plans of one input")
 		}
 	})
@@ -126,7 +126,7 @@
 	in, _ := settled(input(3, model("a", 4), model("b", 4)))
 	before := len(in.VMs)
 	in.Catalog = snapshot(model("a", 5), model("b", 4))
-	r := Make(in)
+	r := Compute(in)
 	is.Equal(len(r.Actions.Unload), 0)
 	is.Equal(len(r.Actions.Terminate), 0)
 	is.True(len(r.Actions.Buy) <= 2)
@@ -142,11 +142,11 @@
 		in.Catalog = snapshot(model("a", in.Catalog.Models["a"].Model.Servers), model("b", rapid.IntRange(1, 6).Draw(t, "b")))
 		for _, o := range in.Offers {
 			if rapid.Bool().Draw(t, "refused") {
-				in.Refused[KeyOf(o)] = in.Now.Add(time.Hour)
+				in.Refused[OfferKeyOf(o)] = in.Now.Add(time.Hour)
 			}
 		}
-		r := Make(in)
-		if len(r.Actions.Unload) > 0 || Left(r.Needs["a"].Ready, true) < r.Needs["a"].Servers {
+		r := Compute(in)
+		if len(r.Actions.Unload) > 0 || ServersAfterDomainLoss(r.Needs["a"].Ready, true) < r.Needs["a"].Servers {
 			t.Fatalf("a lost servers: %+v", r.Actions)
 		}
 	})
@@ -157,11 +157,11 @@
 	in, _ := settled(input(3, model("idle", 3), model("ride", 0)))
 	ev := catalog.Resource{Kind: catalog.KindEvent, Name: "e", Event: &catalog.Event{Start: in.Now, End: in.Now.Add(time.Hour), Models: []catalog.EventModel{{Name: "ride", Servers: 1}}}}
 	in.Catalog = snapshot(model("idle", 3), model("ride", 0), ev)
-	is.Equal(len(Make(in).Actions.Unload), 0) // new VMs first
+	is.Equal(len(Compute(in).Actions.Unload), 0) // new VMs first
 	for _, o := range in.Offers {
-		in.Refused[KeyOf(o)] = in.Now
+		in.Refused[OfferKeyOf(o)] = in.Now
 	}
-	r := Make(in)
+	r := Compute(in)
 	is.Equal(len(r.Actions.Unload), 2) // one in each of two domains
 	is.True(len(r.Needs["ride"].Refused) > 0)
 }
@@ -171,21 +171,21 @@
 	in := input(2, model("m", 4))
 	for _, o := range in.Offers {
 		if o.FailureDomain == "d1" {
-			in.Refused[KeyOf(o)] = in.Now.Add(time.Hour)
+			in.Refused[OfferKeyOf(o)] = in.Now.Add(time.Hour)
 		}
 	}
-	is.Equal(len(Make(in).Actions.Buy), 4) // what is needed, though it cannot be spread
+	is.Equal(len(Compute(in).Actions.Buy), 4) // what is needed, though it cannot be spread
 }
 
 func TestOrphansAreGivenBackAndLateListsBuyNothingTwice(t *testing.T) {
 	is := is.New(t)
 	in := input(3, model("m", 2))
-	first := Make(in)
+	first := Compute(in)
 	in.Intents = first.Actions.Intents // stored, bought, not listed yet
-	again := Make(in)
+	again := Compute(in)
 	is.Equal(len(again.Actions.Intents), len(first.Actions.Intents))
 	in.VMs = []ports.VM{{Name: "cr-m-d0-old", FailureDomain: "d0", State: ports.VMRunning, Role: "engine"}}
-	is.Equal(Make(in).Actions.Terminate, []string{"cr-m-d0-old"})
+	is.Equal(Compute(in).Actions.Terminate, []string{"cr-m-d0-old"})
 }
 
 func TestPriceWeighsAgainstReclaims(t *testing.T) {
--- a/src/plan/release.go
+++ b/src/plan/release.go
@@ -43,7 +43,7 @@
 			}
 			without := maps.Clone(n.Ready)
 			without[i.Offer.FailureDomain]--
-			if Left(without, b.in.Params.Spread) >= n.Servers && (best == "" || i.Offer.HourPrice > b.intents[best].Offer.HourPrice) {
+			if ServersAfterDomainLoss(without, b.in.Params.SpreadDomains) >= n.Servers && (best == "" || i.Offer.HourPrice > b.intents[best].Offer.HourPrice) {
 				best = i.Name
 			}
 		}
--- a/src/ports/cloud.go
+++ b/src/ports/cloud.go
@@ -119,7 +119,7 @@
 }
 
 // Notice asks for a reclaim notice of the VM with this ID; ok is false when there is none.
-func (c *Cloud) Notice(ctx context.Context, id string) (deadline time.Time, ok bool, err error) {
+func (c *Cloud) ReclaimNotice(ctx context.Context, id string) (deadline time.Time, ok bool, err error) {
 	var out VM
 	if err := c.do(ctx, http.MethodGet, "/metadata/"+id+"/notice", nil, &out); err != nil {
 		return time.Time{}, false, err
--- a/src/ports/kv.go
+++ b/src/ports/kv.go
@@ -36,10 +36,10 @@
 
 // Swap is the outcome of a compare-and-swap. When it was lost, Current holds
 // the stored item (Revision 0 when there is none).
-type Swap struct {
-	Won      bool
-	Revision int64
-	Current  Item
+type SwapResult struct {
+	Succeeded bool
+	Revision  int64
+	Current   Item
 }
 
 // KV is a client of the key-value service.
@@ -50,13 +50,13 @@
 }
 
 // Dial opens a connection; nil stands for the standard dialer.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // NewKV returns a client of the service at base (a URL). Each call but a
 // watch ends within timeout.
-func NewKV(base string, timeout time.Duration, dial Dial) *KV {
+func NewKV(base string, timeout time.Duration, dial DialFunc) *KV {
 	tr := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: dial}
-	return &KV{base: base, client: &http.Client{Transport: &conn.Kept{Transport: tr}}, timeout: timeout}
+	return &KV{base: base, client: &http.Client{Transport: &conn.StallDetectingTransport{Transport: tr}}, timeout: timeout}
 }
 
 // Get reads one key; ok is false when it is not stored. rev is the service's revision.
@@ -87,17 +87,17 @@
 
 // PutIf stores value when the key is still at revision rev (0: not stored),
 // bound to lease unless that is 0.
-func (k *KV) PutIf(ctx context.Context, key string, value []byte, rev, lease int64) (Swap, error) {
+func (k *KV) PutIf(ctx context.Context, key string, value []byte, rev, lease int64) (SwapResult, error) {
 	op := WireOp{Put: &WirePut{Key: []byte(key), Value: value, Lease: lease}}
 	return k.swap(ctx, key, rev, op)
 }
 
 // DeleteIf removes the key when it is still at revision rev.
-func (k *KV) DeleteIf(ctx context.Context, key string, rev int64) (Swap, error) {
+func (k *KV) DeleteIf(ctx context.Context, key string, rev int64) (SwapResult, error) {
 	return k.swap(ctx, key, rev, WireOp{Delete: &WireDelete{Key: []byte(key)}})
 }
 
-func (k *KV) swap(ctx context.Context, key string, rev int64, op WireOp) (Swap, error) {
+func (k *KV) swap(ctx context.Context, key string, rev int64, op WireOp) (SwapResult, error) {
 	txn := WireTxn{
 		Compare: []WireCompare{{Key: []byte(key), Result: CompareEqual, Target: CompareMod, ModRevision: rev}},
 		Success: []WireOp{op},
@@ -105,9 +105,9 @@
 	}
 	var res WireTxnResult
 	if err := k.call(ctx, "/v3/kv/txn", txn, &res); err != nil {
-		return Swap{}, err
+		return SwapResult{}, err
 	}
-	out := Swap{Won: res.Succeeded, Revision: res.Header.Revision, Current: Item{Key: key}}
+	out := SwapResult{Succeeded: res.Succeeded, Revision: res.Header.Revision, Current: Item{Key: key}}
 	if !res.Succeeded && len(res.Responses) > 0 && res.Responses[0].Range != nil {
 		if kvs := res.Responses[0].Range.KVs; len(kvs) > 0 {
 			out.Current = itemOf(kvs[0])
@@ -269,4 +269,4 @@
 }
 
 // ErrSoldOut says that no machine of the wanted kind can be had at present.
-var ErrSoldOut = errors.New("none to be had at present")
+var ErrNoCapacity = errors.New("none to be had at present")
--- a/src/request/budget.go
+++ b/src/request/budget.go
@@ -39,7 +39,7 @@
 }
 
 // Have tells how many retries are left.
-func (b *Budget) Have() float64 {
+func (b *Budget) Available() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.have
--- a/src/request/flight.go
+++ b/src/request/flight.go
@@ -15,10 +15,10 @@
 	Repeatable bool
 	Priority   int
 	Customer   string
-	Began      time.Time
+	StartedAt  time.Time
 	// Certain says that no earlier try by this key can have run. It belongs
 	// to the goroutine that runs the flight.
-	Certain bool
+	FirstUse bool
 	// Claimed says that keepers may hold this flight's attempt. It belongs to
 	// the goroutine that runs the flight.
 	Claimed bool
@@ -38,7 +38,7 @@
 // NewFlight returns a flight; cancel ends its run.
 func NewFlight(key string, digest []byte, attempt string, repeatable bool, now time.Time, cancel context.CancelFunc) *Flight {
 	return &Flight{
-		Key: key, Digest: digest, Attempt: attempt, Repeatable: repeatable, Began: now,
+		Key: key, Digest: digest, Attempt: attempt, Repeatable: repeatable, StartedAt: now,
 		changed: make(chan struct{}), lastRead: now, cancel: cancel,
 	}
 }
@@ -57,7 +57,7 @@
 }
 
 // Given is the text delivered so far and its number of tokens.
-func (f *Flight) Given() (string, int) {
+func (f *Flight) Delivered() (string, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return string(f.text), len(f.tokens)
@@ -112,7 +112,7 @@
 }
 
 // Hold counts a reader in; the returned function counts it out.
-func (f *Flight) Hold(now func() time.Time) (release func()) {
+func (f *Flight) AddReader(now func() time.Time) (release func()) {
 	f.mu.Lock()
 	f.readers++
 	f.mu.Unlock()
@@ -142,14 +142,14 @@
 func (f *Flight) Cancel() { f.cancel() }
 
 // At notes where the request runs now.
-func (f *Flight) At(engine, stream string) {
+func (f *Flight) SetLocation(engine, stream string) {
 	f.mu.Lock()
 	f.engine, f.stream = engine, stream
 	f.mu.Unlock()
 }
 
 // Place tells where the request runs now.
-func (f *Flight) Place() (engine, stream string) {
+func (f *Flight) Location() (engine, stream string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engine, f.stream
--- a/src/request/move.go
+++ b/src/request/move.go
@@ -17,26 +17,26 @@
 const moveSafety = 0.7
 
 // Leaving describes a stream at the time its engine's leaving is learnt.
-type Leaving struct {
-	Notice   time.Duration // until the engine is gone; 0 when it is gone
-	Left     int           // most tokens still to come
-	Step     time.Duration // between two tokens
-	Context  int           // tokens of prompt and answer so far
-	MoveRate float64       // tokens of KV cache moved a second; 0 when the engine cannot
-	Ahead    int           // tokens of streams of higher priority that move first
+type LeavingStream struct {
+	Notice          time.Duration // until the engine is gone; 0 when it is gone
+	RemainingTokens int           // most tokens still to come
+	TokenInterval   time.Duration // between two tokens
+	ContextTokens   int           // tokens of prompt and answer so far
+	CacheMoveRate   float64       // tokens of KV cache moved a second; 0 when the engine cannot
+	TokensAhead     int           // tokens of streams of higher priority that move first
 }
 
 // ChooseMove picks the move that recomputes least and fits in the notice.
-func ChooseMove(l Leaving) Move {
+func ChooseMove(l LeavingStream) Move {
 	usable := time.Duration(float64(l.Notice) * moveSafety)
 	if usable <= 0 {
 		return MoveContinue
 	}
-	if time.Duration(l.Left)*l.Step <= usable {
+	if time.Duration(l.RemainingTokens)*l.TokenInterval <= usable {
 		return MoveFinish
 	}
-	if l.MoveRate > 0 {
-		need := float64(l.Ahead+l.Context) / l.MoveRate
+	if l.CacheMoveRate > 0 {
+		need := float64(l.TokensAhead+l.ContextTokens) / l.CacheMoveRate
 		if time.Duration(need*float64(time.Second)) <= usable {
 			return MoveCache
 		}
--- a/src/request/outcome.go
+++ b/src/request/outcome.go
@@ -61,13 +61,13 @@
 
 // Refuse is the answer to a request that was given up before it reached an
 // upstream; retry is when the caller may come back.
-func Refuse(status int, code, message string, retry time.Duration) Answer {
+func Refused(status int, code, message string, retry time.Duration) Answer {
 	return Answer{Outcome: NotRun, Status: status, Code: code, Message: message, RetryMS: retry.Milliseconds()}
 }
 
 // Unsure is the answer to a request of which it is not known whether it ran.
 // retry above 0 invites the caller to ask again for its fate by the same key.
-func Unsure(code, message string, retry time.Duration) Answer {
+func Indeterminate(code, message string, retry time.Duration) Answer {
 	return Answer{Outcome: MayHaveRun, Status: http.StatusBadGateway, Code: code, Message: message, RetryMS: retry.Milliseconds()}
 }
 
--- a/src/request/request_test.go
+++ b/src/request/request_test.go
@@ -11,20 +11,20 @@
 // The move chosen always fits in the notice, and none that recomputes less would.
 func TestChosenMoveFitsTheNotice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Leaving{
-			Notice: time.Duration(rapid.IntRange(0, 30000).Draw(t, "notice")) * time.Millisecond,
-			Left:   rapid.IntRange(0, 2000).Draw(t, "left"), Step: 20 * time.Millisecond,
-			Context: rapid.IntRange(1, 50000).Draw(t, "context"), MoveRate: rapid.SampledFrom([]float64{0, 10000}).Draw(t, "rate"),
-			Ahead: rapid.IntRange(0, 100000).Draw(t, "ahead"),
+		l := LeavingStream{
+			Notice:          time.Duration(rapid.IntRange(0, 30000).Draw(t, "notice")) * time.Millisecond,
+			RemainingTokens: rapid.IntRange(0, 2000).Draw(t, "left"), TokenInterval: 20 * time.Millisecond,
+			ContextTokens: rapid.IntRange(1, 50000).Draw(t, "context"), CacheMoveRate: rapid.SampledFrom([]float64{0, 10000}).Draw(t, "rate"),
+			TokensAhead: rapid.IntRange(0, 100000).Draw(t, "ahead"),
 		}
-		finish := time.Duration(l.Left) * l.Step
+		finish := time.Duration(l.RemainingTokens) * l.TokenInterval
 		move := ChooseMove(l)
 		switch {
 		case move == MoveFinish && finish > l.Notice:
 			t.Fatal("finishes after the engine is gone")
 		case move != MoveFinish && finish < l.Notice/2:
 			t.Fatal("moves a stream that could have ended")
-		case move == MoveCache && float64(l.Ahead+l.Context)/l.MoveRate > l.Notice.Seconds():
+		case move == MoveCache && float64(l.TokensAhead+l.ContextTokens)/l.CacheMoveRate > l.Notice.Seconds():
 			t.Fatal("moves a cache that does not fit")
 		}
 	})
--- a/src/request/window.go
+++ b/src/request/window.go
@@ -70,32 +70,32 @@
 }
 
 // Verdict is what a budget decided on one repeat, and by which figures.
-type Verdict struct {
+type RetryDecision struct {
 	Granted  bool
 	Requests float64 // of this node in the window
-	Repeats  float64 // of this node in the window, this one included if it was granted
+	Retries  float64 // of this node in the window, this one included if it was granted
 	Allowed  float64 // repeats in the window
 	Nodes    int     // among which the part beyond the ratio is divided
 }
 
 // Spend takes one repeat when this node's share, among so many nodes, has one left.
-func (b *WindowBudget) Spend(service string, nodes int, now time.Duration) Verdict {
+func (b *WindowBudget) Spend(service string, nodes int, now time.Duration) RetryDecision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	current := b.slot(service, now)
-	v := Verdict{Nodes: max(nodes, 1)}
+	v := RetryDecision{Nodes: max(nodes, 1)}
 	for _, s := range b.slots[service] {
 		if current.number-s.number <= windowSlots {
 			v.Requests += s.requests
-			v.Repeats += s.repeats
+			v.Retries += s.repeats
 		}
 	}
 	v.Allowed = b.allowed(v.Requests, v.Nodes, now)
-	if v.Repeats+1 > v.Allowed {
+	if v.Retries+1 > v.Allowed {
 		return v
 	}
 	v.Granted = true
-	v.Repeats++
+	v.Retries++
 	current.repeats++
 	return v
 }
--- a/src/route/route.go
+++ b/src/route/route.go
@@ -33,7 +33,7 @@
 // Choice is a candidate with its estimated time to first token.
 type Choice struct {
 	upstream.Candidate
-	FirstToken time.Duration
+	TTFT time.Duration
 }
 
 // Policy is one way of choosing, so that ways can be measured side by side.
@@ -41,15 +41,15 @@
 
 // The policies. Estimate is the product's; the others are its baselines.
 const (
-	Estimate   Policy = "estimate"
-	Random     Policy = "random"
-	RoundRobin Policy = "round-robin"
-	Least      Policy = "least-outstanding"
-	TwoChoices Policy = "two-choices"
+	Estimate         Policy = "estimate"
+	Random           Policy = "random"
+	RoundRobin       Policy = "round-robin"
+	LeastOutstanding Policy = "least-outstanding"
+	TwoChoices       Policy = "two-choices"
 )
 
 // Policies lists all policies.
-var Policies = []Policy{Estimate, Random, RoundRobin, Least, TwoChoices}
+var Policies = []Policy{Estimate, Random, RoundRobin, LeastOutstanding, TwoChoices}
 
 // Chooser holds the little state a policy needs.
 type Chooser struct {
@@ -74,14 +74,14 @@
 	case RoundRobin:
 		pick = cands[c.turn%uint64(len(cands))]
 		c.turn++
-	case Least:
+	case LeastOutstanding:
 		pick = least(cands)
 	case TwoChoices:
 		pick = least([]upstream.Candidate{cands[rng.IntN(len(cands))], cands[rng.IntN(len(cands))]})
 	default:
 		return estimate(cands, r, rng), true
 	}
-	return Choice{pick, FirstToken(pick, r)}, true
+	return Choice{pick, EstimateTTFT(pick, r)}, true
 }
 
 // allowed drops what the request must avoid; a failure domain to avoid is
@@ -104,7 +104,7 @@
 }
 
 func least(cands []upstream.Candidate) upstream.Candidate {
-	return slices.MinFunc(cands, func(a, b upstream.Candidate) int { return a.Own - b.Own })
+	return slices.MinFunc(cands, func(a, b upstream.Candidate) int { return a.OwnRequests - b.OwnRequests })
 }
 
 // estimate looks at the prefix's home candidates, at whoever is believed to
@@ -112,20 +112,20 @@
 // least estimated time to first token among those under the bound.
 func estimate(cands []upstream.Candidate, r Request, rng *rand.Rand) Choice {
 	bound := loadBound(cands)
-	best := Choice{FirstToken: -1}
+	best := Choice{TTFT: -1}
 	consider := func(c upstream.Candidate, bounded bool) {
-		if bounded && c.Busy/c.Slots > bound || rng.Float64() > c.Share {
+		if bounded && c.Busy/c.Slots > bound || rng.Float64() > c.SlowStartWeight {
 			return
 		}
-		t := FirstToken(c, r)
-		if best.FirstToken < 0 || t < best.FirstToken {
+		t := EstimateTTFT(c, r)
+		if best.TTFT < 0 || t < best.TTFT {
 			best = Choice{c, t}
 		}
 	}
 	for _, i := range sample(cands, r, rng) {
 		consider(cands[i], true)
 	}
-	if best.FirstToken >= 0 {
+	if best.TTFT >= 0 {
 		return best
 	}
 	// All of the sample is above the bound: the least loaded of all is not.
@@ -135,7 +135,7 @@
 		}
 		return 1
 	})
-	return Choice{low, FirstToken(low, r)}
+	return Choice{low, EstimateTTFT(low, r)}
 }
 
 func loadBound(cands []upstream.Candidate) float64 {
@@ -213,8 +213,8 @@
 // FirstToken estimates the time to first token at a candidate: the prompt
 // tokens ahead and its own uncached ones over the prefill rate, the wait for
 // a slot, and one decode step.
-func FirstToken(c upstream.Candidate, r Request) time.Duration {
-	cached := float64(c.CachedBlocks*blockBytes) * c.Belief
+func EstimateTTFT(c upstream.Candidate, r Request) time.Duration {
+	cached := float64(c.CachedBlocks*blockBytes) * c.CacheConfidence
 	own := max(float64(r.PromptBytes)-cached, 0) / bytesPerTok
 	seconds := (c.QueuedTokens + own) / c.PrefillTPS
 	if over := c.Busy + 1 - c.Slots; over > 0 {
--- a/src/route/route_test.go
+++ b/src/route/route_test.go
@@ -15,9 +15,9 @@
 	var out []upstream.Candidate
 	for i := range rapid.IntRange(1, 12).Draw(t, "candidates") {
 		out = append(out, upstream.Candidate{
-			Name: fmt.Sprintf("e%02d", i), FailureDomain: fmt.Sprintf("d%d", i%3), Slots: 32, PrefillTPS: 5000, StepMS: 20, Share: 1,
+			Name: fmt.Sprintf("e%02d", i), FailureDomain: fmt.Sprintf("d%d", i%3), Slots: 32, PrefillTPS: 5000, StepMS: 20, SlowStartWeight: 1,
 			Busy: rapid.Float64Range(0, 64).Draw(t, "busy"), QueuedTokens: rapid.Float64Range(0, 20000).Draw(t, "queued"),
-			CachedBlocks: rapid.IntRange(0, 8).Draw(t, "cached"), Belief: rapid.Float64Range(0, 1).Draw(t, "belief"),
+			CachedBlocks: rapid.IntRange(0, 8).Draw(t, "cached"), CacheConfidence: rapid.Float64Range(0, 1).Draw(t, "belief"),
 		})
 	}
 	return out
@@ -102,11 +102,11 @@
 	is := is.New(t)
 	base := upstream.Candidate{Slots: 8, PrefillTPS: 1000, StepMS: 10}
 	r := Request{PromptBytes: 5000}
-	is.Equal(FirstToken(base, r).Milliseconds(), int64(1010)) // 1000 tokens at 1000 a second, and one step
+	is.Equal(EstimateTTFT(base, r).Milliseconds(), int64(1010)) // 1000 tokens at 1000 a second, and one step
 	cached := base
-	cached.CachedBlocks, cached.Belief = 10, 1
-	is.True(FirstToken(cached, r) < FirstToken(base, r))
+	cached.CachedBlocks, cached.CacheConfidence = 10, 1
+	is.True(EstimateTTFT(cached, r) < EstimateTTFT(base, r))
 	full := base
 	full.Busy = 8
-	is.True(FirstToken(full, r) > FirstToken(base, r))
+	is.True(EstimateTTFT(full, r) > EstimateTTFT(base, r))
 }
--- a/src/serve/call.go
+++ b/src/serve/call.go
@@ -122,7 +122,7 @@
 
 // call runs a service call: at most one send when it is not repeatable, more
 // within the retry budget when it is, or while no byte has gone out.
-func (c *Coordinator) call(ctx context.Context, f *request.Flight, a Ask) request.Answer {
+func (c *Coordinator) call(ctx context.Context, f *request.Flight, a Request) request.Answer {
 	avoid := map[string]bool{}
 	sent := false
 	var last error
@@ -137,24 +137,24 @@
 		if try == 0 && !c.Attempts.Send(f.Attempt, c.Now()) {
 			return yielded()
 		}
-		c.Metrics.Added(c.Now().Sub(f.Began))
+		c.Metrics.AddedLatency(c.Now().Sub(f.StartedAt))
 		c.explain.Add(f.Key, "called", "server "+up.Name+" in "+up.FailureDomain)
 		end := c.Registry.Begin(up.Name, 0, nil)
 		res := c.calls.send(ctx, up.Addr, a.Call, a.Key, c.fencing(f), a.Repeatable)
 		end()
 		if res.err == nil {
-			c.Registry.Succeeded(up.Name)
+			c.Registry.RecordSuccess(up.Name)
 			return res.answer
 		}
 		last = res.err
 		c.explain.Add(f.Key, "call failed", fmt.Sprintf("%s: %v", up.Name, res.err))
 		if !res.refused {
-			c.Registry.Failed(up.Name, !res.reached)
+			c.Registry.RecordFailure(up.Name, !res.reached)
 		}
 		sent = sent || res.reached && !res.refused
 		avoid[up.Name] = true
 		if sent && !a.Repeatable {
-			return request.Unsure(codeUpstreamLost, "the service was lost while it may have run the call", 0)
+			return request.Indeterminate(codeUpstreamLost, "the service was lost while it may have run the call", 0)
 		}
 	}
 	return c.callGivenUp(ctx, f, a, sent, last)
@@ -168,19 +168,19 @@
 	return ctx.Err() == nil
 }
 
-func (c *Coordinator) callGivenUp(ctx context.Context, f *request.Flight, a Ask, sent bool, last error) request.Answer {
+func (c *Coordinator) callGivenUp(ctx context.Context, f *request.Flight, a Request, sent bool, last error) request.Answer {
 	if ctx.Err() != nil {
 		return c.ended(f, a)
 	}
 	if sent {
-		return request.Unsure(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", a.Call.Service, last), request.Jitter(retryShard))
+		return request.Indeterminate(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", a.Call.Service, last), request.Jitter(retryShard))
 	}
-	return request.Refuse(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+a.Call.Service+" takes calls just now", request.Jitter(retryShard))
+	return request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+a.Call.Service+" takes calls just now", request.Jitter(retryShard))
 }
 
 func (c *Coordinator) chooseService(service string, avoid map[string]bool) (upstream.Candidate, bool) {
 	cands := c.Registry.ServiceCandidates(service)
-	choice, ok := route.NewChooser(route.Least).Choose(cands, route.Request{Avoid: avoid, AvoidDomain: c.Registry.LeavingDomains()}, nil)
+	choice, ok := route.NewChooser(route.LeastOutstanding).Choose(cands, route.Request{Avoid: avoid, AvoidDomain: c.Registry.LeavingDomains()}, nil)
 	return choice.Candidate, ok
 }
 
--- a/src/serve/claims.go
+++ b/src/serve/claims.go
@@ -35,7 +35,7 @@
 }
 
 // claimKey makes this flight's attempt the holder of its key, or finds out who is.
-func (c *Coordinator) claimKey(ctx context.Context, f *request.Flight, a Ask) claimResult {
+func (c *Coordinator) claimKey(ctx context.Context, f *request.Flight, a Request) claimResult {
 	var superseded []string
 	first := true
 	var place *claim.Attempt
@@ -88,48 +88,48 @@
 // noKeepers refuses a request whose shard cannot grant claims now.
 func (c *Coordinator) noKeepers(f *request.Flight) *request.Answer {
 	c.explain.Add(f.Key, "refused", "no two keepers of its shard answered")
-	r := request.Refuse(http.StatusServiceUnavailable, codeNoKeepers,
+	r := request.Refused(http.StatusServiceUnavailable, codeNoKeepers,
 		"requests not repeatable cannot be taken for this key just now; nothing was sent", request.Jitter(retryShard))
 	return &r
 }
 
 // tooOld refuses keys whose records are gone, or may be: older than the
 // window, or possibly used before the shard lost its records.
-func (c *Coordinator) tooOld(a Ask, m *claim.Map) *request.Answer {
+func (c *Coordinator) tooOld(a Request, m *claim.Map) *request.Answer {
 	if a.Repeatable {
 		return nil
 	}
 	now := c.Now()
 	issued, ok := request.IssuedAt(a.Key)
-	if ok && now.Sub(issued) > c.Set.Claims.Window {
-		r := request.Unsure(codeKeyExpired, "this key is older than the time for which records are kept; use a new key once you know the request's fate", 0)
+	if ok && now.Sub(issued) > c.Settings.Claims.Window {
+		r := request.Indeterminate(codeKeyExpired, "this key is older than the time for which records are kept; use a new key once you know the request's fate", 0)
 		return &r
 	}
-	if m == nil || a.Fresh {
+	if m == nil || a.FirstUse {
 		return nil
 	}
-	floor := time.UnixMilli(m.Shards[claim.ShardOf(request.FullKey(a.Customer, a.Key), len(m.Shards))].FloorMS)
-	if until := floor.Add(c.Set.Claims.Window); now.Before(until) {
-		r := request.Unsure(codeRecordsLost, "the records of this key's shard were lost with two of their keepers; an earlier try may have run", request.Jitter(until.Sub(now)))
+	floor := time.UnixMilli(m.Shards[claim.ShardOf(request.FullKey(a.Customer, a.Key), len(m.Shards))].RecordsLostMS)
+	if until := floor.Add(c.Settings.Claims.Window); now.Before(until) {
+		r := request.Indeterminate(codeRecordsLost, "the records of this key's shard were lost with two of their keepers; an earlier try may have run", request.Jitter(until.Sub(now)))
 		return &r
 	}
 	return nil
 }
 
 // askKeepers sends one round of claims and returns as soon as it is decided.
-func (c *Coordinator) askKeepers(ctx context.Context, m *claim.Map, f *request.Flight, a Ask, superseded []string) *claim.Tally {
+func (c *Coordinator) askKeepers(ctx context.Context, m *claim.Map, f *request.Flight, a Request, superseded []string) *claim.Tally {
 	if m == nil {
-		return &claim.Tally{Need: claim.Majority}
+		return &claim.Tally{Required: claim.Majority}
 	}
 	shard := claim.ShardOf(f.Key, len(m.Shards))
 	def := m.Shards[shard]
 	msg := claim.Claim{
 		Shard: shard, Epoch: def.Epoch, Key: f.Key, Digest: f.Digest, Attempt: c.attempt(f), Repeatable: a.Repeatable, Superseded: superseded,
 	}
-	t := &claim.Tally{Asked: len(def.Keepers), Need: c.need(def)}
+	t := &claim.Tally{Asked: len(def.Keepers), Required: c.need(def)}
 	// The last keeper's copy still matters when the request has ended, so the
 	// calls are not called off with it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Set.Claims.Timeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Settings.Claims.Timeout)
 	replies := make(chan *claim.Reply, len(def.Keepers))
 	for _, k := range def.Keepers {
 		go func() { replies <- c.askKeeper(ctx, k, msg) }()
@@ -140,19 +140,19 @@
 			break
 		}
 	}
-	time.AfterFunc(c.Set.Claims.Timeout, cancel)
+	time.AfterFunc(c.Settings.Claims.Timeout, cancel)
 	return t
 }
 
 func (c *Coordinator) need(def claim.Shard) int {
-	if c.Set.Claims.SingleNode {
+	if c.Settings.Claims.SingleNode {
 		return min(claim.Majority, len(def.Keepers))
 	}
 	return claim.Majority
 }
 
 func (c *Coordinator) attempt(f *request.Flight) claim.Attempt {
-	engine, stream := f.Place()
+	engine, stream := f.Location()
 	return claim.Attempt{ID: f.Attempt, Node: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr, Engine: engine, Stream: stream}
 }
 
@@ -162,18 +162,18 @@
 		r := c.Ledger.Vote(msg, c.Now())
 		return &r
 	}
-	resp, err := c.Pool.To(k.Addr).Claim(ctx, peer.FromClaim(msg))
-	c.Fleet.Called(k.Addr, err == nil)
+	resp, err := c.Pool.Client(k.Addr).Claim(ctx, peer.ClaimToProto(msg))
+	c.Fleet.RecordCall(k.Addr, err == nil)
 	if err != nil {
 		return nil
 	}
-	r := peer.ToReply(resp)
+	r := peer.ReplyFromProto(resp)
 	return &r
 }
 
 // meetRivals asks the coordinators of the attempts that hold the key. It
 // returns a result, or the attempts that the next round supersedes.
-func (c *Coordinator) meetRivals(ctx context.Context, f *request.Flight, a Ask, t *claim.Tally) (*claimResult, []rival) {
+func (c *Coordinator) meetRivals(ctx context.Context, f *request.Flight, a Request, t *claim.Tally) (*claimResult, []rival) {
 	repeatable := a.Repeatable
 	for _, h := range t.Holders {
 		if string(h.Digest) != string(f.Digest) {
@@ -212,12 +212,12 @@
 
 func (c *Coordinator) unsure(f *request.Flight, rival claim.Attempt) request.Answer {
 	c.explain.Add(f.Key, "may-have-run", "its coordinator "+rival.Node+" is silent")
-	return request.Unsure(codeCoordinatorLost, fmt.Sprintf("an earlier try was taken by node %s, which does not answer; ask again by the same key for its fate", rival.Node), request.Jitter(retryFate))
+	return request.Indeterminate(codeCoordinatorLost, fmt.Sprintf("an earlier try was taken by node %s, which does not answer; ask again by the same key for its fate", rival.Node), request.Jitter(retryFate))
 }
 
 // replay puts a kept answer's tokens into the flight.
 func (c *Coordinator) replay(f *request.Flight, r *request.Answer) {
-	_, have := f.Given()
+	_, have := f.Delivered()
 	for i, tok := range r.Tokens {
 		if i >= have {
 			f.Append(tok)
@@ -236,10 +236,10 @@
 		}
 		return claim.Unknown
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Set.Claims.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, c.Settings.Claims.Timeout)
 	defer cancel()
-	resp, err := c.Pool.To(rival.Addr).Inquire(ctx, &peer.InquireRequest{Attempt: rival.ID, Incarnation: rival.Incarnation, Asker: own})
-	c.Fleet.Called(rival.Addr, err == nil)
+	resp, err := c.Pool.Client(rival.Addr).Inquire(ctx, &peer.InquireRequest{Attempt: rival.ID, Incarnation: rival.Incarnation, Asker: own})
+	c.Fleet.RecordCall(rival.Addr, err == nil)
 	if err != nil {
 		return claim.Unknown
 	}
@@ -269,9 +269,9 @@
 			if k.Name == c.Self.Name {
 				c.applySettle(s)
 			} else {
-				ctx, cancel := context.WithTimeout(context.Background(), c.Set.Claims.Timeout)
+				ctx, cancel := context.WithTimeout(context.Background(), c.Settings.Claims.Timeout)
 				defer cancel()
-				if _, err := c.Pool.To(k.Addr).Settle(ctx, s); err != nil {
+				if _, err := c.Pool.Client(k.Addr).Settle(ctx, s); err != nil {
 					return
 				}
 			}
@@ -283,7 +283,7 @@
 
 func (c *Coordinator) applySettle(s *peer.SettleRequest) {
 	if s.Engine != "" {
-		c.Ledger.Place(int(s.Shard), s.Key, s.Attempt, s.Engine, s.Stream)
+		c.Ledger.SetStream(int(s.Shard), s.Key, s.Attempt, s.Engine, s.Stream)
 		return
 	}
 	c.Ledger.Settle(int(s.Shard), s.Key, s.Attempt, s.Released, s.Answer)
@@ -291,7 +291,7 @@
 
 // waitNewer waits a moment for a shard map newer than m.
 func (c *Coordinator) waitNewer(ctx context.Context, m *claim.Map) {
-	deadline := time.Now().Add(c.Set.Claims.Timeout)
+	deadline := time.Now().Add(c.Settings.Claims.Timeout)
 	for c.Shards() == m && time.Now().Before(deadline) && ctx.Err() == nil {
 		pause(ctx, claimBackoff)
 	}
--- a/src/serve/completion.go
+++ b/src/serve/completion.go
@@ -36,7 +36,7 @@
 type run struct {
 	c     *Coordinator
 	f     *request.Flight
-	a     Ask
+	a     Request
 	req   *openai.Request
 	tries int
 	cause string // why the next stream continues an earlier one
@@ -58,14 +58,14 @@
 }
 
 // complete runs a completion to its end, over as many engines as it takes.
-func (c *Coordinator) complete(ctx context.Context, f *request.Flight, a Ask, place *claim.Attempt) request.Answer {
+func (c *Coordinator) complete(ctx context.Context, f *request.Flight, a Request, place *claim.Attempt) request.Answer {
 	r := &run{c: c, f: f, a: a, req: a.Completion, avoid: map[string]bool{}}
 	if place != nil {
 		if answer, ok := r.takeOver(ctx, place); ok {
 			return answer
 		}
 	}
-	_, had := f.Given()
+	_, had := f.Delivered()
 	for ctx.Err() == nil {
 		g, refusal := r.next(ctx, had)
 		if refusal != nil {
@@ -102,8 +102,8 @@
 		return g, refusal
 	}
 	r.tries++
-	given, _ := r.f.Given()
-	text := r.req.Text() + given
+	given, _ := r.f.Delivered()
+	text := r.req.PromptText() + given
 	w := &waiter{text: len(text), blocks: engine.Blocks(text)}
 	for ctx.Err() == nil {
 		r.c.lanes.mu.Lock()
@@ -123,7 +123,7 @@
 		answer := r.c.ended(r.f, r.a)
 		return granted{}, &answer
 	}
-	answer := request.Refuse(http.StatusServiceUnavailable, codeNoUpstream, "no engine took the request", request.Jitter(retryNoModel))
+	answer := request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no engine took the request", request.Jitter(retryNoModel))
 	return granted{}, &answer
 }
 
@@ -141,10 +141,10 @@
 
 // judge decides what follows the end of a stream.
 func (r *run) judge(ctx context.Context, name string, err error) (request.Answer, bool) {
-	_, n := r.f.Given()
+	_, n := r.f.Delivered()
 	switch {
 	case err == nil || n >= r.req.MaxTokens:
-		r.c.Registry.Succeeded(name)
+		r.c.Registry.RecordSuccess(name)
 		return r.done(n), true
 	case errors.Is(err, errLong):
 		r.cancelEverywhere()
@@ -159,7 +159,7 @@
 	case errors.Is(err, engine.ErrInvalid):
 		return request.Answer{Outcome: request.NotRun, Status: http.StatusBadRequest, Code: codeInvalid, Message: err.Error()}, true
 	}
-	r.c.Registry.Failed(name, errors.Is(err, engine.ErrConnect))
+	r.c.Registry.RecordFailure(name, errors.Is(err, engine.ErrConnect))
 	r.avoid[name] = true
 	r.cause = causeFailure
 	r.c.explain.Add(r.f.Key, "stream broke", fmt.Sprintf("engine %s after %d tokens: %v", name, n, err))
@@ -168,13 +168,13 @@
 		r.sent = true
 	}
 	if !r.a.Repeatable && r.sent && !r.wasLeaving(name) {
-		return request.Unsure(codeUpstreamLost, "the engine was lost while it ran the request", 0), true
+		return request.Indeterminate(codeUpstreamLost, "the engine was lost while it ran the request", 0), true
 	}
 	if n == 0 && errors.Is(err, engine.ErrStalled) {
 		r.stalls++
 	}
 	if r.stalls >= stallsMost {
-		return request.Unsure(codeStalled, "several engines took the request and gave no token in time", request.Jitter(retryStalled)), true
+		return request.Indeterminate(codeStalled, "several engines took the request and gave no token in time", request.Jitter(retryStalled)), true
 	}
 	if n == 0 && !r.c.budget.Spend() {
 		return r.giveUp(), true
@@ -185,13 +185,13 @@
 
 func (r *run) giveUp() request.Answer {
 	if r.sent {
-		return request.Unsure(codeBudget, "the engine was lost and this node's retries are used up", request.Jitter(time.Second))
+		return request.Indeterminate(codeBudget, "the engine was lost and this node's retries are used up", request.Jitter(time.Second))
 	}
-	return request.Refuse(http.StatusServiceUnavailable, codeBudget, "no engine could be reached and this node's retries are used up", request.Jitter(time.Second))
+	return request.Refused(http.StatusServiceUnavailable, codeBudget, "no engine could be reached and this node's retries are used up", request.Jitter(time.Second))
 }
 
 func (r *run) done(n int) request.Answer {
-	a := request.Answer{Outcome: request.Completed, Status: http.StatusOK, Model: r.req.Model, Created: r.f.Began.Unix(), Finish: r.finish}
+	a := request.Answer{Outcome: request.Completed, Status: http.StatusOK, Model: r.req.Model, Created: r.f.StartedAt.Unix(), Finish: r.finish}
 	if a.Finish == "" {
 		a.Finish = finishLen
 	}
--- a/src/serve/coordinator.go
+++ b/src/serve/coordinator.go
@@ -27,17 +27,17 @@
 )
 
 // Ask is one request as it came from a caller, checked and with its customer.
-type Ask struct {
-	Customer   string
-	Target     catalog.Target
-	Key        string // the caller's or issued; without the customer
-	Fresh      bool   // issued for this very request, or said by the caller to be its first try
-	Given      bool   // the caller gave the key
-	Repeatable bool
-	Digest     []byte
-	Deadline   time.Time
-	Completion *openai.Request // one of the two is set
-	Call       *Call
+type Request struct {
+	Customer    string
+	Target      catalog.Target
+	Key         string // the caller's or issued; without the customer
+	FirstUse    bool   // issued for this very request, or said by the caller to be its first try
+	KeyProvided bool   // the caller gave the key
+	Repeatable  bool
+	Digest      []byte
+	Deadline    time.Time
+	Completion  *openai.Request // one of the two is set
+	Call        *Call
 }
 
 // Call is a call of a plain service.
@@ -52,7 +52,7 @@
 // Coordinator serves the requests of one node.
 type Coordinator struct {
 	Self     claim.Node
-	Set      settings.Entry
+	Settings settings.Entry
 	Fleet    *member.Fleet
 	Registry *upstream.Registry
 	Pool     *peer.Pool
@@ -87,9 +87,9 @@
 
 // Start makes the coordinator ready for use once its public fields are set.
 func (c *Coordinator) Start() {
-	c.budget = request.NewBudget(c.Set.Retries.Fraction, c.Set.Retries.Burst)
-	c.calls = newCallSender(c.Set)
-	c.choosers.chooser = route.NewChooser(route.Policy(c.Set.Routing.Policy))
+	c.budget = request.NewBudget(c.Settings.Retries.Fraction, c.Settings.Retries.Burst)
+	c.calls = newCallSender(c.Settings)
+	c.choosers.chooser = route.NewChooser(route.Policy(c.Settings.Routing.Policy))
 	c.choosers.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	c.flights = map[string]*request.Flight{}
 	c.explain = telemetry.NewJournal(journalEntries)
@@ -118,11 +118,11 @@
 func (c *Coordinator) Shards() *claim.Map { return c.shards.Load() }
 
 // Open is the number of requests in progress.
-func (c *Coordinator) Open() int { return int(c.open.Load()) }
+func (c *Coordinator) OpenRequests() int { return int(c.open.Load()) }
 
 // Begin starts a request, or joins the flight of an earlier one by the same
 // key. The returned answer, when not nil, refuses it.
-func (c *Coordinator) Begin(a Ask) (*request.Flight, *request.Answer) {
+func (c *Coordinator) Begin(a Request) (*request.Flight, *request.Answer) {
 	full := request.FullKey(a.Customer, a.Key)
 	now := c.Now()
 	c.mu.Lock()
@@ -134,9 +134,9 @@
 		f.Touch(now)
 		return f, nil
 	}
-	if c.Open() >= c.Set.Limits.Flights {
-		r := request.Refuse(http.StatusServiceUnavailable, codeNodeFull, "this node carries as many requests as it may; use another address", request.Jitter(time.Second))
-		if !a.Fresh {
+	if c.OpenRequests() >= c.Settings.Limits.Flights {
+		r := request.Refused(http.StatusServiceUnavailable, codeNodeFull, "this node carries as many requests as it may; use another address", request.Jitter(time.Second))
+		if !a.FirstUse {
 			r = uncertain(r)
 		}
 		return nil, &r
@@ -153,7 +153,7 @@
 }
 
 func keyReused() *request.Answer {
-	r := request.Refuse(http.StatusUnprocessableEntity, codeKeyReused, "this Idempotency-Key was used for another request; use a new key", 0)
+	r := request.Refused(http.StatusUnprocessableEntity, codeKeyReused, "this Idempotency-Key was used for another request; use a new key", 0)
 	return &r
 }
 
@@ -164,13 +164,13 @@
 	return r
 }
 
-func (c *Coordinator) fly(ctx context.Context, f *request.Flight, a Ask) {
+func (c *Coordinator) fly(ctx context.Context, f *request.Flight, a Request) {
 	c.budget.Earn()
-	f.Certain = a.Fresh
+	f.FirstUse = a.FirstUse
 	answer := c.run(ctx, f, a)
 	c.settle(f, a, answer)
 	unsent := answer.Outcome == request.NotRun
-	if unsent && !f.Certain && answer.Code != codeKeyReused {
+	if unsent && !f.FirstUse && answer.Code != codeKeyReused {
 		answer = uncertain(answer)
 	}
 	unsure := answer.Outcome == request.MayHaveRun && (a.Repeatable || c.Attempts.Released(f.Attempt))
@@ -191,8 +191,8 @@
 	c.logEnd(f, a, answer)
 }
 
-func (c *Coordinator) run(ctx context.Context, f *request.Flight, a Ask) request.Answer {
-	if a.Fresh && !a.Given && a.Repeatable {
+func (c *Coordinator) run(ctx context.Context, f *request.Flight, a Request) request.Answer {
+	if a.FirstUse && !a.KeyProvided && a.Repeatable {
 		return c.send(ctx, f, a, nil)
 	}
 	answer := yielded()
@@ -211,16 +211,16 @@
 const yieldsMost = 4
 
 func yielded() request.Answer {
-	return request.Refuse(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(retryShard))
+	return request.Refused(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(retryShard))
 }
 
-func (c *Coordinator) claimAndSend(ctx context.Context, f *request.Flight, a Ask) request.Answer {
+func (c *Coordinator) claimAndSend(ctx context.Context, f *request.Flight, a Request) request.Answer {
 	f.Claimed = true
 	res := c.claimKey(ctx, f, a)
 	switch {
 	case res.granted:
 		c.explain.Add(f.Key, "claimed", "attempt "+f.Attempt)
-		f.Certain = f.Certain || res.first
+		f.FirstUse = f.FirstUse || res.first
 		return c.send(ctx, f, a, res.place)
 	case res.answer != nil:
 		return *res.answer
@@ -228,7 +228,7 @@
 	return c.follow(ctx, f, a, res.holder)
 }
 
-func (c *Coordinator) send(ctx context.Context, f *request.Flight, a Ask, place *claim.Attempt) request.Answer {
+func (c *Coordinator) send(ctx context.Context, f *request.Flight, a Request, place *claim.Attempt) request.Answer {
 	if r := c.overLimit(a); r != nil {
 		return *r
 	}
@@ -239,7 +239,7 @@
 }
 
 // overLimit refuses what is above the customer's rate.
-func (c *Coordinator) overLimit(a Ask) *request.Answer {
+func (c *Coordinator) overLimit(a Request) *request.Answer {
 	cust, ok := c.Catalog().Customers[a.Customer]
 	if !ok {
 		return nil
@@ -248,13 +248,13 @@
 	if allowed {
 		return nil
 	}
-	r := request.Refuse(http.StatusTooManyRequests, codeRateLimited, "the customer's limit of requests a second is reached", request.Jitter(retry))
+	r := request.Refused(http.StatusTooManyRequests, codeRateLimited, "the customer's limit of requests a second is reached", request.Jitter(retry))
 	return &r
 }
 
 // settle tells the keepers how the attempt ended, before the caller is told:
 // a caller who lost the answer finds it there.
-func (c *Coordinator) settle(f *request.Flight, a Ask, answer request.Answer) {
+func (c *Coordinator) settle(f *request.Flight, a Request, answer request.Answer) {
 	if answer.Outcome == request.NotRun {
 		c.Attempts.Withdraw(f.Attempt, c.Now())
 	}
@@ -275,7 +275,7 @@
 		c.tellKeepers(f, &peer.SettleRequest{Released: true})
 		return
 	}
-	if !a.Given && a.Repeatable {
+	if !a.KeyProvided && a.Repeatable {
 		return
 	}
 	kept := answer
@@ -283,14 +283,14 @@
 		kept.Tokens = f.Tokens()
 	}
 	raw := kept.Encode()
-	if len(raw) > c.Set.Claims.KeptBytes {
+	if len(raw) > c.Settings.Claims.KeptBytes {
 		return
 	}
 	told := c.tellKeepers(f, &peer.SettleRequest{Answer: raw})
 	if !a.Repeatable {
 		select {
 		case <-told:
-		case <-time.After(c.Set.Claims.Timeout):
+		case <-time.After(c.Settings.Claims.Timeout):
 		}
 	}
 }
@@ -304,7 +304,7 @@
 }
 
 // Find returns the flight of a key at this node, or nil.
-func (c *Coordinator) Find(full string) *request.Flight {
+func (c *Coordinator) FindFlight(full string) *request.Flight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.flights[full]
@@ -318,11 +318,11 @@
 	for key, f := range c.flights {
 		ended := f.Answer() != nil
 		switch {
-		case ended && now.Sub(f.Began) > c.Set.Claims.Window:
+		case ended && now.Sub(f.StartedAt) > c.Settings.Claims.Window:
 			delete(c.flights, key)
-		case ended && f.Repeatable && f.Abandoned(now, c.Set.Limits.Orphan):
+		case ended && f.Repeatable && f.Abandoned(now, c.Settings.Limits.Orphan):
 			delete(c.flights, key)
-		case !ended && f.Repeatable && f.Abandoned(now, c.Set.Limits.Orphan):
+		case !ended && f.Repeatable && f.Abandoned(now, c.Settings.Limits.Orphan):
 			lost = append(lost, f)
 		}
 	}
@@ -331,14 +331,14 @@
 		f.Cancel()
 	}
 	c.Ledger.Expire(now)
-	c.Attempts.Expire(now, c.Set.Claims.Window)
+	c.Attempts.Expire(now, c.Settings.Claims.Window)
 }
 
 // Wait returns once no request is in progress, or when ctx ends.
-func (c *Coordinator) Wait(ctx context.Context) {
+func (c *Coordinator) WaitIdle(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for c.Open() > 0 {
+	for c.OpenRequests() > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -348,4 +348,4 @@
 }
 
 // End cancels what is still in progress.
-func (c *Coordinator) End() { c.end() }
+func (c *Coordinator) CancelAll() { c.end() }
--- a/src/serve/follow.go
+++ b/src/serve/follow.go
@@ -22,10 +22,10 @@
 // follow copies the flight of the coordinator that holds the key into this
 // one. When the coordinator is lost on the way, a repeatable request is taken
 // over, and of another it is said that it may have run.
-func (c *Coordinator) follow(ctx context.Context, f *request.Flight, a Ask, holder claim.Attempt) request.Answer {
+func (c *Coordinator) follow(ctx context.Context, f *request.Flight, a Request, holder claim.Attempt) request.Answer {
 	failed := 0
 	for ctx.Err() == nil {
-		_, have := f.Given()
+		_, have := f.Delivered()
 		resp, err := c.read(ctx, holder, f.Key, have)
 		if err != nil || !resp.Found {
 			failed++
@@ -37,7 +37,7 @@
 		}
 		failed = 0
 		for _, ev := range resp.Events {
-			if _, have := f.Given(); int(ev.Id) == have+1 {
+			if _, have := f.Delivered(); int(ev.Id) == have+1 {
 				f.Append(ev.Text)
 			}
 		}
@@ -55,12 +55,12 @@
 func (c *Coordinator) read(ctx context.Context, holder claim.Attempt, key string, after int) (*peer.ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, readWait+readSlack)
 	defer cancel()
-	return c.Pool.To(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readWait.Milliseconds())})
+	return c.Pool.Client(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readWait.Milliseconds())})
 }
 
 // orphaned decides on a request whose coordinator is lost: its keepers may
 // have the answer; else a repeatable one is claimed anew.
-func (c *Coordinator) orphaned(ctx context.Context, f *request.Flight, a Ask, holder claim.Attempt) request.Answer {
+func (c *Coordinator) orphaned(ctx context.Context, f *request.Flight, a Request, holder claim.Attempt) request.Answer {
 	rec := c.lookup(ctx, f.Key)
 	if rec != nil && len(rec.Answer) > 0 {
 		if r, err := request.DecodeAnswer(rec.Answer); err == nil {
@@ -84,7 +84,7 @@
 }
 
 // Record is what the keepers hold of a key, or nil.
-func (c *Coordinator) Record(ctx context.Context, full string) *claim.Record {
+func (c *Coordinator) LookupRecord(ctx context.Context, full string) *claim.Record {
 	return c.lookup(ctx, full)
 }
 
@@ -96,7 +96,7 @@
 	}
 	shard := claim.ShardOf(key, len(m.Shards))
 	keepers := m.Shards[shard].Keepers
-	ctx, cancel := context.WithTimeout(ctx, c.Set.Claims.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, c.Settings.Claims.Timeout)
 	defer cancel()
 	found := make(chan *claim.Record, len(keepers))
 	for _, k := range keepers {
@@ -105,12 +105,12 @@
 				found <- c.Ledger.Lookup(shard, key)
 				return
 			}
-			resp, err := c.Pool.To(k.Addr).Lookup(ctx, &peer.LookupRequest{Shard: int32(shard), Key: key})
+			resp, err := c.Pool.Client(k.Addr).Lookup(ctx, &peer.LookupRequest{Shard: int32(shard), Key: key})
 			if err != nil {
 				found <- nil
 				return
 			}
-			found <- peer.ToRecord(resp.Record)
+			found <- peer.RecordFromProto(resp.Record)
 		}()
 	}
 	var best *claim.Record
@@ -123,12 +123,12 @@
 }
 
 // ended is the answer to a flight whose time is up or that was cancelled.
-func (c *Coordinator) ended(f *request.Flight, a Ask) request.Answer {
+func (c *Coordinator) ended(f *request.Flight, a Request) request.Answer {
 	if c.Attempts.Release(f.Attempt, c.Now()) {
-		return request.Refuse(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
+		return request.Refused(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
 	}
 	if c.ending.Err() != nil {
-		return request.Unsure(codeNodeStopped, "this node stops; ask at another address by the same key", request.Jitter(time.Second))
+		return request.Indeterminate(codeNodeStopped, "this node stops; ask at another address by the same key", request.Jitter(time.Second))
 	}
 	if c.Now().Before(a.Deadline) {
 		return request.Answer{Outcome: request.Cancelled, Status: statusCancelled, Code: codeCancelled, Message: "the request was cancelled"}
--- a/src/serve/keeper.go
+++ b/src/serve/keeper.go
@@ -17,7 +17,7 @@
 	if m.Attempt == nil || m.Key == "" {
 		return nil, twirp.RequiredArgumentError("attempt and key")
 	}
-	return peer.FromReply(c.Ledger.Vote(peer.ToClaim(m), c.Now())), nil
+	return peer.ReplyToProto(c.Ledger.Vote(peer.ClaimFromProto(m), c.Now())), nil
 }
 
 // Settle takes in the end of an attempt, or its place.
@@ -28,7 +28,7 @@
 
 // Lookup returns the record held for a key.
 func (c *Coordinator) Lookup(_ context.Context, m *peer.LookupRequest) (*peer.LookupResponse, error) {
-	return &peer.LookupResponse{Record: peer.FromRecord(c.Ledger.Lookup(int(m.Shard), m.Key))}, nil
+	return &peer.LookupResponse{Record: peer.RecordToProto(c.Ledger.Lookup(int(m.Shard), m.Key))}, nil
 }
 
 // Seal ends earlier epochs of a shard here and hands over its records.
@@ -36,7 +36,7 @@
 	ready, records := c.Ledger.Seal(int(m.Shard), m.Epoch)
 	out := &peer.SealResponse{ReadyEpoch: ready}
 	for i := range records {
-		out.Records = append(out.Records, peer.FromRecord(&records[i]))
+		out.Records = append(out.Records, peer.RecordToProto(&records[i]))
 	}
 	return out, nil
 }
@@ -57,7 +57,7 @@
 // Read returns the tokens of a flight after an offset, and its answer once it
 // has ended; it waits a bounded time for the first news.
 func (c *Coordinator) Read(ctx context.Context, m *peer.ReadRequest) (*peer.ReadResponse, error) {
-	f := c.Find(m.Key)
+	f := c.FindFlight(m.Key)
 	if f == nil {
 		return &peer.ReadResponse{}, nil
 	}
@@ -81,7 +81,7 @@
 // Gather makes this node ready to keep a shard: it seals and reads the
 // source's keepers, or copies from a keeper that is ready already. It returns
 // false when too few could be read; the caller tries again.
-func (c *Coordinator) Gather(ctx context.Context, shard int) bool {
+func (c *Coordinator) SyncShard(ctx context.Context, shard int) bool {
 	m := c.Shards()
 	if m == nil || shard >= len(m.Shards) {
 		return true
@@ -124,16 +124,16 @@
 		ready, recs := c.Ledger.Seal(shard, epoch)
 		return ready, recs, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Set.Claims.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, c.Settings.Claims.Timeout)
 	defer cancel()
-	resp, err := c.Pool.To(k.Addr).Seal(ctx, &peer.SealRequest{Shard: int32(shard), Epoch: epoch})
-	c.Fleet.Called(k.Addr, err == nil)
+	resp, err := c.Pool.Client(k.Addr).Seal(ctx, &peer.SealRequest{Shard: int32(shard), Epoch: epoch})
+	c.Fleet.RecordCall(k.Addr, err == nil)
 	if err != nil {
 		return 0, nil, false
 	}
 	var recs []claim.Record
 	for _, r := range resp.Records {
-		recs = append(recs, *peer.ToRecord(r))
+		recs = append(recs, *peer.RecordFromProto(r))
 	}
 	return resp.ReadyEpoch, recs, true
 }
--- a/src/serve/lanes.go
+++ b/src/serve/lanes.go
@@ -64,7 +64,7 @@
 func (l *lanes) lane(model string) *lane {
 	ln := l.lanes[model]
 	if ln == nil {
-		ln = &lane{yields: map[*run]bool{}, queue: admit.NewQueue(l.c.Set.Limits.QueueEntries, l.c.Set.Limits.QueueBytes), hold: holdFirst}
+		ln = &lane{yields: map[*run]bool{}, queue: admit.NewQueue(l.c.Settings.Limits.QueueEntries, l.c.Settings.Limits.QueueBytes), hold: holdFirst}
 		l.lanes[model] = ln
 	}
 	return ln
@@ -120,7 +120,7 @@
 		if l.room(model) {
 			e = ln.queue.Pop()
 		} else if prefer = ln.makeRoom(); prefer != "" {
-			e = ln.queue.PopUrgent()
+			e = ln.queue.PopHighestPriority()
 		}
 		if e == nil {
 			return
@@ -128,7 +128,7 @@
 		w := e.Value.(*waiter)
 		g, ok := l.place(model, w, nil, prefer)
 		if !ok {
-			ln.queue.Force(e)
+			ln.queue.PushUnbounded(e)
 			return
 		}
 		w.got <- g
@@ -141,12 +141,12 @@
 // queues for its continuation. A stream without a token may not run yet and
 // would free nothing.
 func (ln *lane) makeRoom() (engine string) {
-	if ln.queue.Most() < catalog.EventPriority {
+	if ln.queue.HighestPriority() < catalog.EventPriority {
 		return ""
 	}
 	var victim *run
 	for r := range ln.yields {
-		if _, n := r.f.Given(); n <= r.base {
+		if _, n := r.f.Delivered(); n <= r.base {
 			continue
 		}
 		if r.a.Target.Priority < catalog.EventPriority && (victim == nil || r.a.Target.Priority < victim.a.Target.Priority) {
@@ -158,7 +158,7 @@
 	}
 	delete(ln.yields, victim)
 	close(victim.pause)
-	engine, _ = victim.f.Place()
+	engine, _ = victim.f.Location()
 	return engine
 }
 
@@ -190,7 +190,7 @@
 }
 
 func (l *lanes) fits(c upstream.Candidate) bool {
-	return c.Busy < c.Slots*l.c.Set.Routing.Overshoot
+	return c.Busy < c.Slots*l.c.Settings.Routing.Overshoot
 }
 
 // place chooses an engine and counts the request to it. prefer names the
@@ -206,7 +206,7 @@
 	if !ok {
 		return granted{}, false
 	}
-	uncached := max(float64(w.text)/bytesPerTok-float64(choice.CachedBlocks)*blockTokens*choice.Belief, 1)
+	uncached := max(float64(w.text)/bytesPerTok-float64(choice.CachedBlocks)*blockTokens*choice.CacheConfidence, 1)
 	return granted{choice, l.c.Registry.Begin(choice.Name, uncached, w.blocks)}, true
 }
 
@@ -216,9 +216,9 @@
 // acquire gets a place: at once when an engine has room, else by the queue. A
 // new request that cannot meet its latency is refused at once; one that goes
 // on after the text given is not.
-func (c *Coordinator) acquire(ctx context.Context, f *request.Flight, a Ask) (granted, *request.Answer) {
-	given, n := f.Given()
-	text := a.Completion.Text() + given
+func (c *Coordinator) acquire(ctx context.Context, f *request.Flight, a Request) (granted, *request.Answer) {
+	given, n := f.Delivered()
+	text := a.Completion.PromptText() + given
 	w := &waiter{text: len(text), blocks: engine.Blocks(text), got: make(chan granted, 1), begun: n > 0}
 	e, g, refusal := c.lanes.enter(a, w)
 	if e == nil {
@@ -241,19 +241,19 @@
 	return granted{}, &r
 }
 
-func (l *lanes) enter(a Ask, w *waiter) (*admit.Entry, granted, *request.Answer) {
+func (l *lanes) enter(a Request, w *waiter) (*admit.Entry, granted, *request.Answer) {
 	model := a.Completion.Model
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cands := l.c.candidates(model, w.blocks)
 	if len(cands) == 0 && !w.begun {
-		r := request.Refuse(http.StatusServiceUnavailable, codeNoUpstream, "no engine holds model "+model+" just now", request.Jitter(retryNoModel))
+		r := request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no engine holds model "+model+" just now", request.Jitter(retryNoModel))
 		return nil, granted{}, &r
 	}
 	ln := l.lane(model)
 	if ln.queue.Len() == 0 && l.room(model) {
 		if g, ok := l.place(model, w, nil, ""); ok {
-			if over := g.FirstToken - l.target(a); over > 0 && !w.begun {
+			if over := g.TTFT - l.target(a); over > 0 && !w.begun {
 				g.end()
 				return nil, granted{}, refuseLate(over)
 			}
@@ -265,10 +265,10 @@
 		return nil, granted{}, refuseLate(over)
 	}
 	e := &admit.Entry{
-		Customer: a.Customer, Weight: a.Target.Share, Priority: a.Target.Priority, Cost: 1, Bytes: w.text, Since: l.c.Now(), Value: w,
+		Customer: a.Customer, Weight: a.Target.Share, Priority: a.Target.Priority, Cost: 1, Bytes: w.text, EnqueuedAt: l.c.Now(), Value: w,
 	}
 	if w.begun {
-		ln.queue.Force(e)
+		ln.queue.PushUnbounded(e)
 	} else if !ln.queue.Push(e) {
 		return nil, granted{}, refuseLate(wait)
 	}
@@ -277,26 +277,26 @@
 }
 
 func refuseLate(over time.Duration) *request.Answer {
-	r := request.Refuse(http.StatusTooManyRequests, codeOverload, "the first token would come too late; nothing was sent", request.Jitter(max(over, retryLeast)))
+	r := request.Refused(http.StatusTooManyRequests, codeOverload, "the first token would come too late; nothing was sent", request.Jitter(max(over, retryLeast)))
 	return &r
 }
 
-func (l *lanes) target(a Ask) time.Duration {
+func (l *lanes) target(a Request) time.Duration {
 	if a.Target.FirstToken > 0 {
 		return a.Target.FirstToken
 	}
-	return l.c.Set.Limits.FirstToken
+	return l.c.Settings.Limits.FirstToken
 }
 
 // wait estimates when a request entering now would start: those ahead of it,
 // over the rate at which this node's part of the slots comes free.
-func (ln *lane) wait(cands []upstream.Candidate, a Ask, nodes int) time.Duration {
+func (ln *lane) wait(cands []upstream.Candidate, a Request, nodes int) time.Duration {
 	slots := 0.0
 	for _, c := range cands {
 		slots += c.Slots
 	}
 	rate := slots / ln.hold / float64(max(nodes, 1))
-	ahead := ln.queue.Ahead(a.Customer, a.Target.Share, a.Target.Priority)
+	ahead := ln.queue.CostAhead(a.Customer, a.Target.Share, a.Target.Priority)
 	return time.Duration((ahead + 1) / rate * float64(time.Second))
 }
 
@@ -312,7 +312,7 @@
 // candidates are the engines of the model that this node follows.
 func (c *Coordinator) candidates(model string, blocks []uint64) []upstream.Candidate {
 	cands := c.Registry.Candidates(model, blocks)
-	size := c.Set.Routing.Subset
+	size := c.Settings.Routing.Subset
 	if size <= 0 || size >= len(cands) {
 		return cands
 	}
--- a/src/serve/move.go
+++ b/src/serve/move.go
@@ -21,14 +21,14 @@
 // its cache if that is the way.
 func (r *run) leave(ctx context.Context, g granted, id string) departure {
 	_, deadline := r.c.Registry.Leaving(g.Name)
-	_, n := r.f.Given()
-	l := request.Leaving{
-		Notice: deadline.Sub(r.c.Now()), Left: r.req.MaxTokens - n, Step: time.Duration(g.StepMS * float64(time.Millisecond)),
-		Context: len(r.req.Text())/int(bytesPerTok) + n, MoveRate: g.MoveTPS, Ahead: r.c.aheadAt(g.Name, r.f),
+	_, n := r.f.Delivered()
+	l := request.LeavingStream{
+		Notice: deadline.Sub(r.c.Now()), RemainingTokens: r.req.MaxTokens - n, TokenInterval: time.Duration(g.StepMS * float64(time.Millisecond)),
+		ContextTokens: len(r.req.PromptText())/int(bytesPerTok) + n, CacheMoveRate: g.KVTransferTPS, TokensAhead: r.c.aheadAt(g.Name, r.f),
 	}
 	move := request.ChooseMove(l)
 	r.c.Metrics.Move(string(move))
-	r.c.explain.Add(r.f.Key, "move "+string(move), fmt.Sprintf("engine %s leaves in %s, %d tokens at most to come", g.Name, l.Notice.Round(time.Millisecond), l.Left))
+	r.c.explain.Add(r.f.Key, "move "+string(move), fmt.Sprintf("engine %s leaves in %s, %d tokens at most to come", g.Name, l.Notice.Round(time.Millisecond), l.RemainingTokens))
 	switch move {
 	case request.MoveFinish:
 		return departure{stay: true}
@@ -41,8 +41,8 @@
 // moveCache has another engine pull the stream's KV cache. It returns that
 // engine's name, or "" when the cache could not be moved.
 func (r *run) moveCache(ctx context.Context, g granted, id string, deadline time.Time) string {
-	given, _ := r.f.Given()
-	text := r.req.Text() + given
+	given, _ := r.f.Delivered()
+	text := r.req.PromptText() + given
 	w := &waiter{text: len(text), blocks: engine.Blocks(text)}
 	r.c.lanes.mu.Lock()
 	to, ok := r.c.lanes.place(r.req.Model, w, map[string]bool{g.Name: true}, "")
@@ -53,7 +53,7 @@
 	defer to.end()
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if err := r.c.Engines.Pull(ctx, to.Addr, engine.Import{Source: g.Addr, Stream: id}); err != nil {
+	if err := r.c.Engines.ImportKV(ctx, to.Addr, engine.Import{Source: g.Addr, Stream: id}); err != nil {
 		r.c.explain.Add(r.f.Key, "cache not moved", err.Error())
 		return ""
 	}
@@ -66,8 +66,8 @@
 	defer c.mu.Unlock()
 	tokens := 0
 	for _, o := range c.flights {
-		if at, _ := o.Place(); at == name && o != f && o.Priority > f.Priority && o.Answer() == nil {
-			_, n := o.Given()
+		if at, _ := o.Location(); at == name && o != f && o.Priority > f.Priority && o.Answer() == nil {
+			_, n := o.Delivered()
 			tokens += n
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 func (r *run) cancelEverywhere() {
-	name, id := r.f.Place()
+	name, id := r.f.Location()
 	if p, ok := r.c.Registry.Get(name); ok {
 		r.cancelAt(p.Addr, id)
 	}
@@ -108,7 +108,7 @@
 	}
 	r.cause = causeTakeover
 	r.sent = true
-	r.f.At(place.Engine, place.Stream)
+	r.f.SetLocation(place.Engine, place.Stream)
 	cands := r.c.Registry.Candidates(r.req.Model, nil)
 	g := granted{end: func() {}}
 	g.Name, g.Addr = p.Name, p.Addr
@@ -118,7 +118,7 @@
 		}
 	}
 	err := r.read(ctx, g, place.Stream, r.resume(g, place.Stream))
-	_, n := r.f.Given()
+	_, n := r.f.Delivered()
 	if err == nil || n >= r.req.MaxTokens {
 		return r.done(n), true
 	}
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -31,23 +31,23 @@
 	return out
 }
 
-func (c *Coordinator) logEnd(f *request.Flight, a Ask, answer request.Answer) {
-	up, _ := f.Place()
+func (c *Coordinator) logEnd(f *request.Flight, a Request, answer request.Answer) {
+	up, _ := f.Location()
 	if a.Call != nil {
 		up = a.Call.Service
 	}
-	_, n := f.Given()
+	_, n := f.Delivered()
 	klog.InfoS("request", "key", a.Key, "customer", a.Customer, "upstream", up, "outcome", answer.Outcome,
-		"status", answer.Status, "code", answer.Code, "tokens", n, "ms", c.Now().Sub(f.Began).Milliseconds())
+		"status", answer.Status, "code", answer.Code, "tokens", n, "ms", c.Now().Sub(f.StartedAt).Milliseconds())
 }
 
 // Poll asks each followed engine for its report unless one came on an answer
 // within the interval, until ctx ends. While requests wait here the interval
 // is short: a node that gets no place gets no answers, and with old reports it
 // would go on seeing no place.
-func (c *Coordinator) Poll(ctx context.Context) {
+func (c *Coordinator) PollEngines(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := c.Set.Routing.Report
+		every := c.Settings.Routing.Report
 		if c.lanes.waiting() {
 			every = min(every, waitingReport)
 		}
@@ -56,7 +56,7 @@
 				go c.pollOne(ctx, name)
 			}
 		}
-		pause(ctx, request.Jitter(min(c.Set.Routing.Report, waitingReport)))
+		pause(ctx, request.Jitter(min(c.Settings.Routing.Report, waitingReport)))
 	}
 }
 
@@ -82,19 +82,21 @@
 	}
 	st, err := c.Engines.State(ctx, p.Addr, c.Registry.CacheSeq(name))
 	if err != nil {
-		c.Registry.Failed(name, true)
+		c.Registry.RecordFailure(name, true)
 		return
 	}
-	c.Registry.Report(name, time.UnixMilli(st.AtMS), float64(st.Running), float64(st.Waiting), float64(st.QueuedTokens), st.StepMS)
-	c.Registry.CacheEvents(name, st.CacheSeq, st.Cache)
-	c.Registry.Succeeded(name)
+	c.Registry.UpdateLoad(name, time.UnixMilli(st.AtMS), float64(st.Running), float64(st.Waiting), float64(st.QueuedTokens), st.StepMS)
+	c.Registry.ApplyCacheEvents(name, st.CacheSeq, st.Cache)
+	c.Registry.RecordSuccess(name)
 	if st.LeavingMS > 0 {
-		c.Registry.Leave(name, time.UnixMilli(st.LeavingMS))
+		c.Registry.MarkLeaving(name, time.UnixMilli(st.LeavingMS))
 	}
 }
 
 // Explain returns what was decided about a key or an upstream, "" for all.
-func (c *Coordinator) Explain(subject string) []telemetry.Decision { return c.explain.About(subject) }
+func (c *Coordinator) Explain(subject string) []telemetry.Decision {
+	return c.explain.ForSubject(subject)
+}
 
 // FlightDump is a request as the state dump shows it.
 type FlightDump struct {
@@ -118,9 +120,9 @@
 		if len(out) == dumpedFlights {
 			break
 		}
-		_, n := f.Given()
-		d := FlightDump{Key: f.Key, Repeatable: f.Repeatable, Priority: f.Priority, AgeMS: c.Now().Sub(f.Began).Milliseconds(), Tokens: n}
-		d.Engine, _ = f.Place()
+		_, n := f.Delivered()
+		d := FlightDump{Key: f.Key, Repeatable: f.Repeatable, Priority: f.Priority, AgeMS: c.Now().Sub(f.StartedAt).Milliseconds(), Tokens: n}
+		d.Engine, _ = f.Location()
 		if a := f.Answer(); a != nil {
 			d.Outcome = a.Outcome
 		}
@@ -149,4 +151,4 @@
 }
 
 // Retries tells how many retries the node may still make.
-func (c *Coordinator) Retries() float64 { return c.budget.Have() }
+func (c *Coordinator) RetriesLeft() float64 { return c.budget.Available() }
--- a/src/serve/stream.go
+++ b/src/serve/stream.go
@@ -15,17 +15,17 @@
 
 // stream runs one stream at one engine until it ends, breaks or moves.
 func (r *run) stream(ctx context.Context, g granted) error {
-	given, n := r.f.Given()
+	given, n := r.f.Delivered()
 	r.base = n
 	r.resumed = 0
 	id := fmt.Sprintf("%s-%d", r.f.Attempt, r.tries)
-	body := r.req.Body(given, n, r.a.Target.Priority, seedOf(r.f.Key))
+	body := r.req.EngineBody(given, n, r.a.Target.Priority, seedOf(r.f.Key))
 	began := r.c.Now()
-	r.f.At(g.Name, id)
+	r.f.SetLocation(g.Name, id)
 	r.c.explain.Add(r.f.Key, "routed", fmt.Sprintf("engine %s in %s, first token estimated in %s, %.1f of %.0f slots busy, %d prefix blocks believed held",
-		g.Name, g.FailureDomain, g.Choice.FirstToken.Round(time.Millisecond), g.Busy, g.Slots, g.CachedBlocks))
+		g.Name, g.FailureDomain, g.Choice.TTFT.Round(time.Millisecond), g.Busy, g.Slots, g.CachedBlocks))
 	if n == 0 {
-		r.c.Metrics.Added(began.Sub(r.f.Began))
+		r.c.Metrics.AddedLatency(began.Sub(r.f.StartedAt))
 	}
 	err := r.read(ctx, g, id, func(ctx context.Context) error {
 		return r.c.Engines.Open(ctx, g.Addr, id, r.req.Chat, body, r.meta(g.Name), r.token)
@@ -47,7 +47,7 @@
 
 func (r *run) resume(g granted, id string) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_, now := r.f.Given()
+		_, now := r.f.Delivered()
 		return r.c.Engines.Resume(ctx, g.Addr, id, int64(now-r.base), r.meta(g.Name), r.token)
 	}
 }
@@ -60,7 +60,7 @@
 	if r.wasLeaving(name) {
 		return false
 	}
-	_, now := r.f.Given()
+	_, now := r.f.Delivered()
 	// Each resumption must bring something, or the engine is given up.
 	progress := now-r.base > r.resumed
 	r.resumed = now - r.base
@@ -79,7 +79,7 @@
 	defer r.c.lanes.running(r)()
 	stall := time.NewTimer(r.firstWait(g))
 	defer stall.Stop()
-	_, seen := r.f.Given()
+	_, seen := r.f.Delivered()
 	moved := make(chan departure, 1)
 	for {
 		select {
@@ -108,9 +108,9 @@
 			r.cancelAt(g.Addr, id)
 			return errMoved
 		case <-stall.C:
-			if _, now := r.f.Given(); now > seen {
+			if _, now := r.f.Delivered(); now > seen {
 				seen = now
-				stall.Reset(r.c.Set.Routing.Stall)
+				stall.Reset(r.c.Settings.Routing.Stall)
 				continue
 			}
 			cancel(engine.ErrStalled)
@@ -124,18 +124,18 @@
 // firstWait is how long the first token may take before the engine counts as
 // stalled: what was estimated, several times over, and the common bound.
 func (r *run) firstWait(g granted) time.Duration {
-	return r.c.Set.Routing.Stall + 4*g.FirstToken
+	return r.c.Settings.Routing.Stall + 4*g.TTFT
 }
 
 // meta takes in what an answer's head says of its engine.
 func (r *run) meta(name string) func(engine.Meta) {
 	return func(m engine.Meta) {
 		if m.LeavingMS > 0 {
-			r.c.Registry.Leave(name, time.UnixMilli(m.LeavingMS))
+			r.c.Registry.MarkLeaving(name, time.UnixMilli(m.LeavingMS))
 		}
 		if m.Load != nil {
 			n := m.Load.Named
-			r.c.Registry.Report(name, time.UnixMilli(int64(n.AtMS)), n.Running, n.Waiting, n.QueuedTokens, n.StepMS)
+			r.c.Registry.UpdateLoad(name, time.UnixMilli(int64(n.AtMS)), n.Running, n.Waiting, n.QueuedTokens, n.StepMS)
 		}
 		if m.Started {
 			r.sent = true
@@ -147,11 +147,11 @@
 // notePlace lets the keepers know where the stream runs, so that another node
 // can take it up. A stream that continues an earlier one could not be read
 // from its beginning and is not noted.
-func (c *Coordinator) notePlace(f *request.Flight, a Ask, engine string, base int) {
-	_, id := f.Place()
+func (c *Coordinator) notePlace(f *request.Flight, a Request, engine string, base int) {
+	_, id := f.Location()
 	switch {
 	case base > 0:
-	case a.Fresh && !a.Given && a.Repeatable:
+	case a.FirstUse && !a.KeyProvided && a.Repeatable:
 		// Nobody can have used the key, so its claim is for later readers only.
 		go c.askKeepers(context.Background(), c.Shards(), f, a, nil)
 	default:
@@ -165,7 +165,7 @@
 		r.usage = t.Usage
 		return nil
 	}
-	_, n := r.f.Given()
+	_, n := r.f.Delivered()
 	at := r.base + int(t.ID)
 	switch {
 	case at <= n:
@@ -176,14 +176,14 @@
 	}
 	now := r.c.Now()
 	if n == 0 {
-		r.c.Metrics.FirstToken(now.Sub(r.f.Began))
+		r.c.Metrics.FirstToken(now.Sub(r.f.StartedAt))
 	} else if !r.last.IsZero() {
-		r.c.Metrics.Between(now.Sub(r.last))
+		r.c.Metrics.TokenInterval(now.Sub(r.last))
 	}
 	r.last = now
 	r.f.Append(t.Text)
 	r.finish = t.Finish
-	if r.f.Size() > r.c.Set.Limits.AnswerBytes {
+	if r.f.Size() > r.c.Settings.Limits.AnswerBytes {
 		return errLong
 	}
 	return nil
@@ -196,8 +196,8 @@
 		return
 	}
 	cached := int(float64(u.PromptDetails.CachedTokens) / blockTokens)
-	text := r.req.Text()
-	r.c.Registry.CacheSeen(g.Name, engine.Blocks(text), cached)
+	text := r.req.PromptText()
+	r.c.Registry.RecordCacheUsage(g.Name, engine.Blocks(text), cached)
 	if given > 0 {
 		r.c.Metrics.Recomputed(r.cause, u.PromptTokens, u.PromptTokens-u.PromptDetails.CachedTokens)
 	}
--- a/src/settings/control.go
+++ b/src/settings/control.go
@@ -27,8 +27,8 @@
 	Boot        time.Duration `yaml:"boot"`
 	Recheck     time.Duration `yaml:"recheck"`
 	MoveTPS     float64       `yaml:"move_tokens_per_second"`
-	Most        int           `yaml:"most_servers"`
-	Prefix      string        `yaml:"vm_prefix"`
+	MaxServers  int           `yaml:"most_servers"`
+	VMPrefix    string        `yaml:"vm_prefix"`
 	// Spread false places without regard to failure domains, for measuring.
 	Spread       bool `yaml:"spread"`
 	OnDemandOnly bool `yaml:"on_demand_only"`
@@ -40,7 +40,7 @@
 		KV:    Service{Timeout: 2 * time.Second},
 		Cloud: Service{Timeout: 2 * time.Second},
 		Planner: Planner{Lease: 10 * time.Second, Round: time.Second, WeightsRate: 1e9, Margin: 30 * time.Second,
-			Boot: time.Minute, Recheck: 30 * time.Second, MoveTPS: 50000, Most: 1000, Prefix: "cr", Spread: true},
+			Boot: time.Minute, Recheck: 30 * time.Second, MoveTPS: 50000, MaxServers: 1000, VMPrefix: "cr", Spread: true},
 	}
 }
 
@@ -66,8 +66,8 @@
 	p.needTime("planner.margin", c.Planner.Margin, 0, 24*time.Hour)
 	p.needTime("planner.boot", c.Planner.Boot, 0, time.Hour)
 	p.needTime("planner.recheck", c.Planner.Recheck, 50*time.Millisecond, time.Hour)
-	p.needRange("planner.most_servers", c.Planner.Most, 0, 100_000)
-	p.needText("planner.vm_prefix", c.Planner.Prefix)
+	p.needRange("planner.most_servers", c.Planner.MaxServers, 0, 100_000)
+	p.needText("planner.vm_prefix", c.Planner.VMPrefix)
 	if c.Planner.WeightsRate <= 0 || c.Planner.MoveTPS < 0 {
 		p.add("planner", "needs weights_bytes_per_second above 0 and move_tokens_per_second not below 0")
 	}
--- a/src/settings/entry.go
+++ b/src/settings/entry.go
@@ -55,7 +55,7 @@
 	QueueBytes   int           `yaml:"queue_bytes"`
 	Flights      int           `yaml:"flights"`
 	Deadline     time.Duration `yaml:"deadline"`
-	DeadlineMost time.Duration `yaml:"deadline_most"`
+	MaxDeadline  time.Duration `yaml:"deadline_most"`
 	FirstToken   time.Duration `yaml:"first_token"`
 	WriteStall   time.Duration `yaml:"write_stall"`
 	Orphan       time.Duration `yaml:"orphan"`
@@ -106,7 +106,7 @@
 		Cloud: Service{Timeout: 2 * time.Second},
 		Limits: Limits{
 			BodyBytes: 1 << 20, HeaderBytes: 32 << 10, AnswerBytes: 4 << 20, QueueEntries: 2000, QueueBytes: 64 << 20,
-			Flights: 20000, Deadline: 2 * time.Minute, DeadlineMost: 5 * time.Minute, FirstToken: 10 * time.Second,
+			Flights: 20000, Deadline: 2 * time.Minute, MaxDeadline: 5 * time.Minute, FirstToken: 10 * time.Second,
 			WriteStall: 30 * time.Second, Orphan: 30 * time.Second,
 		},
 		Claims:   Claims{Shards: 64, Window: 15 * time.Minute, Timeout: 700 * time.Millisecond, Records: 200000, KeptBytes: 64 << 10, Suspect: 4 * time.Second},
@@ -175,8 +175,8 @@
 	p.needRange("limits.queue_entries", l.QueueEntries, 0, 1_000_000)
 	p.needRange("limits.queue_bytes", l.QueueBytes, 0, 4<<30)
 	p.needRange("limits.flights", l.Flights, 1, 1_000_000)
-	p.needTime("limits.deadline", l.Deadline, 100*time.Millisecond, l.DeadlineMost)
-	p.needTime("limits.deadline_most", l.DeadlineMost, 100*time.Millisecond, time.Hour)
+	p.needTime("limits.deadline", l.Deadline, 100*time.Millisecond, l.MaxDeadline)
+	p.needTime("limits.deadline_most", l.MaxDeadline, 100*time.Millisecond, time.Hour)
 	p.needTime("limits.first_token", l.FirstToken, 10*time.Millisecond, 10*time.Minute)
 	p.needTime("limits.write_stall", l.WriteStall, 100*time.Millisecond, 10*time.Minute)
 	p.needTime("limits.orphan", l.Orphan, 100*time.Millisecond, 10*time.Minute)
@@ -185,7 +185,7 @@
 func (c Claims) check(p *problems, l Limits) {
 	p.needRange("claims.shards", c.Shards, 1, 4096)
 	// A record must outlive the request it guards.
-	p.needTime("claims.window", c.Window, 2*l.DeadlineMost, 24*time.Hour)
+	p.needTime("claims.window", c.Window, 2*l.MaxDeadline, 24*time.Hour)
 	p.needTime("claims.timeout", c.Timeout, 10*time.Millisecond, 30*time.Second)
 	p.needTime("claims.suspect", c.Suspect, 100*time.Millisecond, 10*time.Minute)
 	p.needRange("claims.records", c.Records, 1, 10_000_000)
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -19,10 +19,10 @@
 
 // CloudFaults are the ways in which the cloud can fail.
 type CloudFaults struct {
-	Refuse      []string `json:"refuse"` // failure domains, or "reclaimable", or "all"
-	LagMS       int      `json:"lag_ms"` // age of the VM list
-	LoseAnswers int      `json:"lose_answers"`
-	Down        bool     `json:"down"`
+	Refuse        []string `json:"refuse"` // failure domains, or "reclaimable", or "all"
+	LagMS         int      `json:"lag_ms"` // age of the VM list
+	DropResponses int      `json:"lose_answers"`
+	Down          bool     `json:"down"`
 }
 
 // Cloud sells VMs. A bought VM runs a model engine inside this process; VMs
@@ -167,8 +167,8 @@
 		}
 		vm = c.boot(name, o)
 	}
-	if c.faults.LoseAnswers > 0 {
-		c.faults.LoseAnswers--
+	if c.faults.DropResponses > 0 {
+		c.faults.DropResponses--
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, vm.VM)
@@ -230,7 +230,7 @@
 
 // Reclaim names what the cloud takes back: one VM, or a failure domain's
 // reclaimable VMs of a role.
-type Reclaim struct {
+type ReclaimRequest struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure_domain"`
 	Role          string `json:"role"` // "" for all
@@ -238,7 +238,7 @@
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
-	var q Reclaim
+	var q ReclaimRequest
 	if !readJSON(w, r, &q) {
 		return
 	}
@@ -283,9 +283,9 @@
 
 // CloudCost tells what was spent.
 type CloudCost struct {
-	Bought int     `json:"bought"`
-	Price  float64 `json:"price"` // in the currency of the offers' hour price
-	Living int     `json:"living"`
+	Bought  int     `json:"bought"`
+	Price   float64 `json:"price"` // in the currency of the offers' hour price
+	Running int     `json:"living"`
 }
 
 func (c *Cloud) serveCost(w http.ResponseWriter, _ *http.Request) {
@@ -294,7 +294,7 @@
 	out := CloudCost{Bought: c.bought, Price: c.hours}
 	for _, vm := range c.vms {
 		if vm.State != ports.VMTerminated {
-			out.Living++
+			out.Running++
 			out.Price += time.Since(vm.since).Hours() * vm.HourPrice
 		}
 	}
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -25,14 +25,14 @@
 }
 
 // DefaultShape is used for what is not set.
-var DefaultShape = EngineShape{Slots: 32, PrefillTPS: 8000, StepMS: 10, StepPerSeq: 0.1, CacheBlocks: 4096, MoveTPS: 50000, LagMS: 200}
+var DefaultEngineShape = EngineShape{Slots: 32, PrefillTPS: 8000, StepMS: 10, StepPerSeq: 0.1, CacheBlocks: 4096, MoveTPS: 50000, LagMS: 200}
 
 // EngineFaults are the ways in which an engine can fail.
 type EngineFaults struct {
-	Hang       bool    `json:"hang"`        // accepts, makes no progress
-	CutAfter   int     `json:"cut_after"`   // breaks each connection after so many tokens; 0 for never
-	Slow       float64 `json:"slow"`        // factor on every time; 0 means 1
-	LoseEvents float64 `json:"lose_events"` // share of cache events never reported
+	Hang                  bool    `json:"hang"`        // accepts, makes no progress
+	DisconnectAfterTokens int     `json:"cut_after"`   // breaks each connection after so many tokens; 0 for never
+	Slow                  float64 `json:"slow"`        // factor on every time; 0 means 1
+	DropCacheEvents       float64 `json:"lose_events"` // share of cache events never reported
 }
 
 const (
@@ -49,7 +49,7 @@
 	shape     EngineShape
 	faults    EngineFaults
 	weights   string
-	models    map[string]engine.Loaded
+	models    map[string]engine.LoadedModel
 	loading   map[string]bool
 	waiting   []*stream
 	running   []*stream
@@ -97,10 +97,10 @@
 
 // NewEngine starts an engine that holds the given models. weights is the
 // address of the weight store, "" when orders load at once.
-func NewEngine(name string, shape EngineShape, weights string, models ...engine.Loaded) *Engine {
+func NewEngine(name string, shape EngineShape, weights string, models ...engine.LoadedModel) *Engine {
 	e := &Engine{
 		name: name, shape: shape.filled(), weights: weights,
-		models: map[string]engine.Loaded{}, loading: map[string]bool{},
+		models: map[string]engine.LoadedModel{}, loading: map[string]bool{},
 		streams: map[string]*stream{}, cache: map[uint64]int64{},
 		wake: make(chan struct{}, 1), stopped: make(chan struct{}),
 	}
@@ -112,7 +112,7 @@
 }
 
 func (s EngineShape) filled() EngineShape {
-	d := DefaultShape
+	d := DefaultEngineShape
 	if s.Slots > 0 {
 		d.Slots = s.Slots
 	}
@@ -282,7 +282,7 @@
 func (e *Engine) emit(ev engine.CacheEvent) {
 	e.eventSeq++
 	ev.Seq = e.eventSeq
-	lost := float64(xxhash.Sum64String(e.name+string(rune(ev.Seq)))%1000)/1000 < e.faults.LoseEvents
+	lost := float64(xxhash.Sum64String(e.name+string(rune(ev.Seq)))%1000)/1000 < e.faults.DropCacheEvents
 	if !lost {
 		e.events = append(e.events, ev)
 	}
@@ -337,7 +337,7 @@
 
 func newStream(id string, req openai.Request, given string, priority int) *stream {
 	s := &stream{id: id, chat: req.Chat, model: req.Model, priority: priority, limit: req.MaxTokens, changed: make(chan struct{})}
-	s.text = req.Text() + given
+	s.text = req.PromptText() + given
 	s.hash = xxhash.New()
 	_, _ = s.hash.WriteString(req.Model + "\x00" + s.text)
 	s.prompt = max(countTokens(s.text), 1)
--- a/src/standin/enginehttp.go
+++ b/src/standin/enginehttp.go
@@ -111,7 +111,7 @@
 	for {
 		e.mu.Lock()
 		tokens, done, canceled, changed := s.tokens, s.done, s.canceled, s.changed
-		cut := e.faults.CutAfter
+		cut := e.faults.DisconnectAfterTokens
 		e.mu.Unlock()
 		for sent < len(tokens) {
 			sent++
@@ -251,7 +251,7 @@
 	defer e.mu.Unlock()
 	delete(e.loading, o.Name)
 	if ok {
-		e.models[o.Name] = engine.Loaded{Name: o.Name, Version: o.Version}
+		e.models[o.Name] = engine.LoadedModel{Name: o.Name, Version: o.Version}
 	}
 }
 
@@ -305,7 +305,7 @@
 	e.mu.Lock()
 	e.store(engine.Blocks(ex.Text))
 	e.mu.Unlock()
-	w.Header().Set(engine.HeaderPulled, strconv.Itoa(ex.Tokens))
+	w.Header().Set(engine.HeaderPulledTokens, strconv.Itoa(ex.Tokens))
 }
 
 func (e *Engine) serveLeave(w http.ResponseWriter, r *http.Request) {
--- a/src/standin/kv.go
+++ b/src/standin/kv.go
@@ -24,10 +24,10 @@
 
 // KVFaults are the ways in which the key-value service can fail.
 type KVFaults struct {
-	Down        bool `json:"down"`
-	DelayMS     int  `json:"delay_ms"`
-	LoseAnswers int  `json:"lose_answers"` // how many of the next writes take effect unanswered
-	StaleReads  bool `json:"stale_reads"`  // lists answer as of the time this was set
+	Down          bool `json:"down"`
+	DelayMS       int  `json:"delay_ms"`
+	DropResponses int  `json:"lose_answers"` // how many of the next writes take effect unanswered
+	StaleReads    bool `json:"stale_reads"`  // lists answer as of the time this was set
 }
 
 // KV is the key-value service.
@@ -170,9 +170,9 @@
 	}
 	k.mu.Lock()
 	res, ok := k.txn(req)
-	lose := ok && res.Succeeded && k.faults.LoseAnswers > 0
+	lose := ok && res.Succeeded && k.faults.DropResponses > 0
 	if lose {
-		k.faults.LoseAnswers--
+		k.faults.DropResponses--
 	}
 	k.mu.Unlock()
 	switch {
--- a/src/standin/run.go
+++ b/src/standin/run.go
@@ -58,9 +58,9 @@
 		if version == "" {
 			version = "1"
 		}
-		var models []engine.Loaded
+		var models []engine.LoadedModel
 		for _, m := range e.Models {
-			models = append(models, engine.Loaded{Name: m, Version: version})
+			models = append(models, engine.LoadedModel{Name: m, Version: version})
 		}
 		out = append(out, part{e.Name, e.Listen, NewEngine(e.Name, EngineShape(e.Shape), e.Weights, models...).Handler()})
 	}
--- a/src/telemetry/dependency.go
+++ b/src/telemetry/dependency.go
@@ -29,7 +29,7 @@
 }
 
 // Well notes that a use of it succeeded.
-func (d *Dependency) Well() {
+func (d *Dependency) Succeeded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lost.IsZero() {
@@ -40,7 +40,7 @@
 }
 
 // LostFor is how long it has been lost; 0 while it is well.
-func (d *Dependency) LostFor() time.Duration {
+func (d *Dependency) OutageDuration() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lost.IsZero() {
