--- a/src/telemetry/gateway.go
+++ b/src/telemetry/gateway.go
@@ -10,7 +10,7 @@
 )
 
 // Gateway are the instruments of a gateway. docs/OPERATIONS.md tells how to read them.
-type Gateway struct {
+type GatewayMetrics struct {
 	made     *instruments
 	requests metric.Int64Counter
 	sends    metric.Int64Counter
@@ -24,12 +24,12 @@
 }
 
 // NewGateway returns the instruments and their Prometheus endpoint.
-func NewGateway() (*Gateway, error) {
+func NewGatewayMetrics() (*GatewayMetrics, error) {
 	made, err := newInstruments("crank-gateway", "crankridge_gateway_")
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{
+	g := &GatewayMetrics{
 		made:     made,
 		requests: made.counter("requests", "answers to clients, by route and status"),
 		sends:    made.counter("sends", "requests sent to servers, by service and fate; all but the first of a request are retries"),
@@ -45,10 +45,10 @@
 }
 
 // Handler serves the Prometheus endpoint.
-func (g *Gateway) Handler() http.Handler { return g.made.handler }
+func (g *GatewayMetrics) Handler() http.Handler { return g.made.handler }
 
 // Gauge adds a value that is read when it is asked for.
-func (g *Gateway) Gauge(name, what string, read func() float64) error {
+func (g *GatewayMetrics) Gauge(name, what string, read func() float64) error {
 	_, err := g.made.meter.Float64ObservableGauge(g.made.prefix+name, metric.WithDescription(what),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			o.Observe(read())
@@ -58,36 +58,38 @@
 }
 
 // Answered counts an answer that came from a server.
-func (g *Gateway) Answered(route, status string, took time.Duration) {
+func (g *GatewayMetrics) Answered(route, status string, took time.Duration) {
 	g.requests.Add(context.Background(), 1, attrs("route", route, "status", status))
 	g.whole.Record(context.Background(), took.Seconds(), attrs("route", route))
 }
 
 // Refused counts an answer of the gateway's own.
-func (g *Gateway) Refused(code string) {
+func (g *GatewayMetrics) Refused(code string) {
 	g.refusals.Add(context.Background(), 1, attrs("code", code))
 }
 
 // Sent counts a send by what became of it.
-func (g *Gateway) Sent(service, fate string) {
+func (g *GatewayMetrics) Sent(service, fate string) {
 	g.sends.Add(context.Background(), 1, attrs("service", service, "fate", fate))
 }
 
 // Retry counts a decision of the retry budget, which was divided among so many nodes.
-func (g *Gateway) Retry(service string, granted bool, nodes int) {
+func (g *GatewayMetrics) Retry(service string, granted bool, nodes int) {
 	g.retries.Add(context.Background(), 1, attrs("service", service, "granted", strconv.FormatBool(granted)))
 	g.shareOf.Record(context.Background(), int64(nodes), attrs("service", service))
 }
 
 // Added records the time before a request was first sent on.
-func (g *Gateway) Added(route string, took time.Duration) {
+func (g *GatewayMetrics) AddedLatency(route string, took time.Duration) {
 	g.added.Record(context.Background(), took.Seconds(), attrs("route", route))
 }
 
 // Gap records the time between two parts of a stream.
-func (g *Gateway) Gap(took time.Duration) { g.gaps.Record(context.Background(), took.Seconds()) }
+func (g *GatewayMetrics) EventInterval(took time.Duration) {
+	g.gaps.Record(context.Background(), took.Seconds())
+}
 
 // FirstEvent records the time to the first event of a stream.
-func (g *Gateway) FirstEvent(route string, took time.Duration) {
+func (g *GatewayMetrics) FirstEvent(route string, took time.Duration) {
 	g.first.Record(context.Background(), took.Seconds(), attrs("route", route))
 }
--- a/src/telemetry/journal.go
+++ b/src/telemetry/journal.go
@@ -37,7 +37,7 @@
 }
 
 // About returns the decisions about a subject, oldest first; "" means all.
-func (j *Journal) About(subject string) []Decision {
+func (j *Journal) ForSubject(subject string) []Decision {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var out []Decision
--- a/src/telemetry/metrics.go
+++ b/src/telemetry/metrics.go
@@ -61,10 +61,10 @@
 }
 
 // Added records the time before a request was sent on.
-func (m *Metrics) Added(d time.Duration) { m.added.Record(context.Background(), d.Seconds()) }
+func (m *Metrics) AddedLatency(d time.Duration) { m.added.Record(context.Background(), d.Seconds()) }
 
 // Between records the time between two tokens.
-func (m *Metrics) Between(d time.Duration) { m.between.Record(context.Background(), d.Seconds()) }
+func (m *Metrics) TokenInterval(d time.Duration) { m.between.Record(context.Background(), d.Seconds()) }
 
 // Recomputed counts, of the tokens a moved stream went on with, those that
 // had to be computed again.
--- a/src/traffic/config.go
+++ b/src/traffic/config.go
@@ -39,7 +39,7 @@
 	Objective    time.Duration // time within which an answer is wanted
 	GapObjective time.Duration // longest pause wanted between events of a stream
 	Priority     int           // 0 is the highest
-	Split        []Share
+	Split        []WeightedService
 	MaxAttempts  int // most servers that may run one attempt of a client
 	Public       bool
 	Sticky       bool
@@ -47,12 +47,12 @@
 }
 
 // MayRepeat tells whether a request of the route may run a second time.
-func (r *Route) MayRepeat() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
 // Share is one service of a route with its weight in the split.
-type Share struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -72,28 +72,28 @@
 	CacheTokens int
 	TokenBytes  int
 	LinkMbps    float64
-	Moves       bool
-	HandleFor   time.Duration
+	KVTransfer  bool
+	KVHandleTTL time.Duration
 }
 
 // Scaling bounds the servers of a service in each failure domain.
 type Scaling struct {
-	Min, Max       int
-	Boot           time.Duration
-	SpotPrice      float64            // share of the on-demand price
-	DomainPrices   map[string]float64 // by failure domain
-	DomainsOrdered []string           // the keys of DomainPrices, sorted
+	Min, Max      int
+	Boot          time.Duration
+	SpotPrice     float64            // share of the on-demand price
+	DomainPrices  map[string]float64 // by failure domain
+	SortedDomains []string           // the keys of DomainPrices, sorted
 }
 
 // Customer is who pays for requests, with its keys and its limit.
 type Customer struct {
-	Name        string
-	Keys        []string
-	Priority    *int // goes before the route's
-	InTokens    bool // the limit counts tokens, not requests
-	PlainTokens int  // tokens of a request that names none
-	Rate        float64
-	Burst       float64
+	Name          string
+	Keys          []string
+	Priority      *int // goes before the route's
+	LimitsTokens  bool // the limit counts tokens, not requests
+	DefaultTokens int  // tokens of a request that names none
+	Rate          float64
+	Burst         float64
 }
 
 // Limits bound what clients may send.
@@ -114,7 +114,7 @@
 	Slots         int
 	Draining      bool
 	Spot          bool
-	Leaves        time.Duration // time until it is gone when draining; 0 if not told
-	Cold          time.Duration
-	Born          int64 // Unix milliseconds of its start; 0 if not told. Another value is another life
+	DrainTime     time.Duration // time until it is gone when draining; 0 if not told
+	WarmupTime    time.Duration
+	StartedMS     int64 // Unix milliseconds of its start; 0 if not told. Another value is another life
 }
--- a/src/traffic/headers.go
+++ b/src/traffic/headers.go
@@ -6,10 +6,10 @@
 	RequestID      string // of one attempt of a client; kept as it is
 	DeadlineMs     string // milliseconds left to the receiver
 	LastEventID    string // id of the last event that was received
-	Stamp          string // a server's signature
+	Signature      string // a server's signature
 	Customer       string
 	ExpectInstance string // id of the server that is meant
-	NotRun         string // a server says that it did not run the request
+	NotExecuted    string // a server says that it did not run the request
 	Model          string
 	Tokens         string // tokens in, most tokens out
 	PromptParts    string
--- a/src/traffic/table.go
+++ b/src/traffic/table.go
@@ -52,10 +52,10 @@
 }
 
 // Keyed tells whether requests need a key at all.
-func (t *Table) Keyed() bool { return len(t.Config.Customers) > 0 }
+func (t *Table) RequiresKey() bool { return len(t.Config.Customers) > 0 }
 
 // CustomerOf returns the customer that holds the key, or nil.
-func (t *Table) CustomerOf(key string) *Customer {
+func (t *Table) CustomerByKey(key string) *Customer {
 	return t.byKey[sha256.Sum256([]byte(key))]
 }
 
@@ -64,7 +64,7 @@
 
 // Pick returns the service of a route for a request, by the weights of its
 // split. The same request id always gets the same service.
-func (r *Route) Pick(requestID string) string {
+func (r *Route) PickService(requestID string) string {
 	total := 0
 	for _, s := range r.Split {
 		total += max(s.Weight, 0)
--- a/src/traffic/table_test.go
+++ b/src/traffic/table_test.go
@@ -30,12 +30,12 @@
 
 func TestSplitFollowsItsWeightsAndItsRequest(t *testing.T) {
 	is := is.New(t)
-	r := Route{Split: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
+	r := Route{Split: []WeightedService{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint("request-", i)
-		is.Equal(r.Pick(id), r.Pick(id))
-		counts[r.Pick(id)]++
+		is.Equal(r.PickService(id), r.PickService(id))
+		counts[r.PickService(id)]++
 	}
 	is.True(counts["b"] > 800 && counts["b"] < 1200)
 	is.Equal(counts["none"], 0)
@@ -44,8 +44,8 @@
 func TestCustomersByTheirKeys(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Config{Customers: []Customer{{Name: "one", Keys: []string{"k1", "k2"}}}})
-	is.True(table.Keyed())
-	is.Equal(table.CustomerOf("k2").Name, "one")
-	is.True(table.CustomerOf("k3") == nil)
-	is.True(table.CustomerOf("") == nil)
+	is.True(table.RequiresKey())
+	is.Equal(table.CustomerByKey("k2").Name, "one")
+	is.True(table.CustomerByKey("k3") == nil)
+	is.True(table.CustomerByKey("") == nil)
 }
--- a/src/upstream/candidate.go
+++ b/src/upstream/candidate.go
@@ -18,21 +18,21 @@
 
 // Candidate is one upstream as a route sees it at one moment.
 type Candidate struct {
-	Name          string
-	Addr          string
-	FailureDomain string
-	Region        string
-	Version       string
-	Slots         float64
-	Busy          float64 // streams running or waiting, own sends since the report counted in
-	Own           int     // of this node, in progress
-	QueuedTokens  float64 // prompt tokens ahead
-	PrefillTPS    float64
-	StepMS        float64
-	CachedBlocks  int     // of the request's blocks, believed held
-	Belief        float64 // 0 to 1, decaying with the belief's age
-	Share         float64 // 0 to 1 while it returns from an ejection
-	MoveTPS       float64
+	Name            string
+	Addr            string
+	FailureDomain   string
+	Region          string
+	Version         string
+	Slots           float64
+	Busy            float64 // streams running or waiting, own sends since the report counted in
+	OwnRequests     int     // of this node, in progress
+	QueuedTokens    float64 // prompt tokens ahead
+	PrefillTPS      float64
+	StepMS          float64
+	CachedBlocks    int     // of the request's blocks, believed held
+	CacheConfidence float64 // 0 to 1, decaying with the belief's age
+	SlowStartWeight float64 // 0 to 1 while it returns from an ejection
+	KVTransferTPS   float64
 }
 
 // Candidates returns the upstreams that may take a new request for a model
@@ -40,7 +40,7 @@
 // request's prefix blocks.
 func (r *Registry) Candidates(model string, blocks []uint64) []Candidate {
 	return r.gather(blocks, func(u *Upstream) (string, bool) {
-		i := slices.IndexFunc(u.Models, func(m engine.Loaded) bool { return m.Name == model })
+		i := slices.IndexFunc(u.Models, func(m engine.LoadedModel) bool { return m.Name == model })
 		if i < 0 {
 			return "", false
 		}
@@ -89,15 +89,15 @@
 
 func (u *Upstream) candidate(now time.Time, blocks []uint64, others float64) Candidate {
 	c := Candidate{
-		Name: u.Name, Addr: u.Addr, FailureDomain: u.FailureDomain, Region: u.Region, Own: u.inflight, MoveTPS: u.MoveTPS,
+		Name: u.Name, Addr: u.Addr, FailureDomain: u.FailureDomain, Region: u.Region, OwnRequests: u.inflight, KVTransferTPS: u.KVTransferTPS,
 		Slots: orDefault(float64(u.Slots), defaultSlots), StepMS: orDefault(u.step, defaultStepMS),
-		PrefillTPS: orDefault(u.PrefillTPS, defaultPrefill), Share: float64(u.credit+1) / (returnSteps + 1),
+		PrefillTPS: orDefault(u.PrefillTPS, defaultPrefill), SlowStartWeight: float64(u.credit+1) / (returnSteps + 1),
 	}
 	if u.prefill > 0 {
 		c.PrefillTPS = u.prefill
 	}
 	c.Busy, c.QueuedTokens = u.load(now, c.PrefillTPS, others)
-	c.CachedBlocks, c.Belief = u.believed(now, blocks)
+	c.CachedBlocks, c.CacheConfidence = u.believed(now, blocks)
 	return c
 }
 
--- a/src/upstream/published.go
+++ b/src/upstream/published.go
@@ -24,34 +24,34 @@
 
 // Published is one upstream as the planner last saw it.
 type Published struct {
-	Name          string          `json:"name"`
-	VM            string          `json:"vm,omitempty"`
-	Addr          string          `json:"addr"`
-	Kind          Kind            `json:"kind"`
-	Service       string          `json:"service,omitempty"`
-	FailureDomain string          `json:"fd"`
-	Region        string          `json:"region,omitempty"`
-	Models        []engine.Loaded `json:"models,omitempty"`
-	Slots         int             `json:"slots,omitempty"`
-	PrefillTPS    float64         `json:"prefill,omitempty"`
-	MoveTPS       float64         `json:"move,omitempty"`
-	LeavingMS     int64           `json:"leaving,omitempty"` // Unix ms; 0 when it stays
+	Name          string               `json:"name"`
+	VM            string               `json:"vm,omitempty"`
+	Addr          string               `json:"addr"`
+	Kind          Kind                 `json:"kind"`
+	Service       string               `json:"service,omitempty"`
+	FailureDomain string               `json:"fd"`
+	Region        string               `json:"region,omitempty"`
+	Models        []engine.LoadedModel `json:"models,omitempty"`
+	Slots         int                  `json:"slots,omitempty"`
+	PrefillTPS    float64              `json:"prefill,omitempty"`
+	KVTransferTPS float64              `json:"move,omitempty"`
+	LeavingMS     int64                `json:"leaving,omitempty"` // Unix ms; 0 when it stays
 }
 
 // Domain is the published list of one failure domain.
-type Domain struct {
+type DomainUpstreams struct {
 	Upstreams []Published `json:"upstreams"`
 }
 
 // DecodeDomain reads the stored form.
-func DecodeDomain(raw []byte) (Domain, error) {
-	var d Domain
+func DecodeDomainUpstreams(raw []byte) (DomainUpstreams, error) {
+	var d DomainUpstreams
 	err := json.Unmarshal(raw, &d)
 	return d, err
 }
 
 // Encode gives the stored form.
-func (d Domain) Encode() []byte {
+func (d DomainUpstreams) Encode() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
 		panic("an upstream list cannot be encoded: " + err.Error())
--- a/src/upstream/registry.go
+++ b/src/upstream/registry.go
@@ -72,7 +72,7 @@
 
 // SetOthers tells how much all other nodes send to this node's upstreams, in
 // multiples of what this node sends.
-func (r *Registry) SetOthers(times float64) {
+func (r *Registry) SetPeerLoadFactor(times float64) {
 	r.mu.Lock()
 	r.others = max(times, 0)
 	r.mu.Unlock()
@@ -80,7 +80,7 @@
 
 // Replace takes in the published lists. Upstreams that are no longer in them
 // are dropped; what was measured of the others stays.
-func (r *Registry) Replace(domains []Domain) {
+func (r *Registry) Replace(domains []DomainUpstreams) {
 	r.mu.Lock()
 	seen := map[string]bool{}
 	var leaving []Published
@@ -141,7 +141,7 @@
 
 // Leave marks an upstream as leaving, whoever says so. It gets no new work
 // from now on. The word is kept for an upstream that is not published yet.
-func (r *Registry) Leave(name string, deadline time.Time) {
+func (r *Registry) MarkLeaving(name string, deadline time.Time) {
 	if r.mark(name, deadline) && r.onLeft != nil {
 		r.onLeft(name, deadline)
 	}
@@ -161,7 +161,7 @@
 }
 
 // LeavingList returns the names known to be leaving, with their deadlines.
-func (r *Registry) LeavingList() map[string]time.Time {
+func (r *Registry) LeavingDeadlines() map[string]time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.left, func(_ string, at time.Time) bool { return r.now().Sub(at) > leavingKept })
@@ -203,7 +203,7 @@
 
 // Failed notes that the upstream could not be reached or broke off. A refused
 // connection ejects it at once; other failures after a few in a row.
-func (r *Registry) Failed(name string, connect bool) {
+func (r *Registry) RecordFailure(name string, connect bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.all[name]
@@ -221,7 +221,7 @@
 }
 
 // Succeeded notes an answer; an ejected upstream earns its share back slowly.
-func (r *Registry) Succeeded(name string) {
+func (r *Registry) RecordSuccess(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.all[name]
@@ -236,7 +236,7 @@
 }
 
 // Report takes in a load report; one older than the last is dropped.
-func (r *Registry) Report(name string, at time.Time, running, waiting, queued, step float64) {
+func (r *Registry) UpdateLoad(name string, at time.Time, running, waiting, queued, step float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.all[name]
@@ -300,7 +300,7 @@
 
 // CacheSeen corrects the belief in a prefix by what an answer's usage said:
 // cachedBlocks of the blocks were held.
-func (r *Registry) CacheSeen(name string, blocks []uint64, cachedBlocks int) {
+func (r *Registry) RecordCacheUsage(name string, blocks []uint64, cachedBlocks int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.all[name]
@@ -331,7 +331,7 @@
 }
 
 // CacheEvents takes in the engine's own cache events.
-func (r *Registry) CacheEvents(name string, seq int64, events []engine.CacheEvent) {
+func (r *Registry) ApplyCacheEvents(name string, seq int64, events []engine.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.all[name]
@@ -359,7 +359,7 @@
 }
 
 // MeasuredPrefill takes in one observation of the prefill rate, tokens a second.
-func (r *Registry) MeasuredPrefill(name string, tps float64) {
+func (r *Registry) RecordPrefillRate(name string, tps float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u := r.all[name]; u != nil && tps > 0 {
--- a/src/view/follow.go
+++ b/src/view/follow.go
@@ -32,7 +32,7 @@
 	store := &telemetry.Dependency{Name: "store", Now: time.Now}
 	well := func() {
 		wait.Reset()
-		store.Well()
+		store.Succeeded()
 	}
 	list := true
 	for ctx.Err() == nil {
@@ -88,7 +88,7 @@
 // held since before: the changes came by another way, so the watch is deaf. A
 // new one begins at once. It takes the complete revision of an earlier look
 // and reports whether the watch was cut.
-func (v *View) CutIfDeaf(before int64) bool {
+func (v *View) CancelStalledWatch(before int64) bool {
 	v.mu.Lock()
 	cut := v.cutWatch
 	deaf := cut != nil && v.watched < before
--- a/src/view/follow_test.go
+++ b/src/view/follow_test.go
@@ -36,14 +36,14 @@
 	go v.Follow(ctx, service, "")
 	is.Equal(<-service.watches, int64(6))
 	complete, _ := v.Complete()
-	is.Equal(v.CutIfDeaf(complete), false) // nothing is known that the watch did not show
+	is.Equal(v.CancelStalledWatch(complete), false) // nothing is known that the watch did not show
 	v.ApplyPeer(Delta{Items: []ports.Item{{Key: "a", Revision: 9}}, Complete: 9})
-	is.Equal(v.CutIfDeaf(9), true)
+	is.Equal(v.CancelStalledWatch(9), true)
 	select {
 	case from := <-service.watches:
 		is.Equal(from, int64(10))
 	case <-time.After(5 * time.Second):
 		t.Fatal("no new watch")
 	}
-	is.Equal(v.CutIfDeaf(9), false) // the new watch begins after all that is known
+	is.Equal(v.CancelStalledWatch(9), false) // the new watch begins after all that is known
 }
--- a/src/view/view.go
+++ b/src/view/view.go
@@ -56,7 +56,7 @@
 }
 
 // NewLogged returns an empty view that also keeps its last changes, up to kept.
-func NewLogged(kept int) *View {
+func NewWithLog(kept int) *View {
 	v := New()
 	v.kept = kept
 	return v
@@ -64,7 +64,7 @@
 
 // Log returns the changes above revision rev, removals included, in order,
 // and the complete revision. ok is false when the log does not reach back so far.
-func (v *View) Log(rev int64) (items []ports.Item, complete int64, ok bool) {
+func (v *View) ChangesSince(rev int64) (items []ports.Item, complete int64, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if rev < v.floor {
@@ -202,7 +202,7 @@
 }
 
 // Since returns what a view that is complete up to rev lacks.
-func (v *View) Since(rev int64) Delta {
+func (v *View) DeltaSince(rev int64) Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := Delta{Complete: v.complete, Whole: rev < v.whole}
--- a/src/view/view_test.go
+++ b/src/view/view_test.go
@@ -63,7 +63,7 @@
 					v.ApplyBatch(ports.Batch{Items: s.history[v.complete:upTo], Revision: int64(upTo)})
 				}
 			case "exchange":
-				d := views[rapid.IntRange(0, len(views)-1).Draw(t, "peer")].Since(v.complete)
+				d := views[rapid.IntRange(0, len(views)-1).Draw(t, "peer")].DeltaSince(v.complete)
 				v.ApplyPeer(d)
 			}
 			for key, rev := range versions(v) {
@@ -78,7 +78,7 @@
 		}
 		views[0].ApplyList(s.at(len(s.history)), int64(len(s.history)))
 		for _, v := range views[1:] {
-			v.ApplyPeer(views[0].Since(v.complete))
+			v.ApplyPeer(views[0].DeltaSince(v.complete))
 			if !maps.Equal(live(v), live(views[0])) {
 				t.Fatalf("%v and %v", live(v), live(views[0]))
 			}
@@ -115,20 +115,20 @@
 	behind.ApplyBatch(ports.Batch{Items: s.history[:1], Revision: 1})
 	v.ApplyBatch(ports.Batch{Items: s.history, Revision: int64(len(s.history))})
 	is.True(len(v.items) <= removalsKept+1)
-	behind.ApplyPeer(v.Since(behind.complete))
+	behind.ApplyPeer(v.DeltaSince(behind.complete))
 	is.Equal(live(behind), live(v)) // k0's removal is forgotten by name, not in effect
 }
 
 func TestLogTellsWhenItDoesNotReachBack(t *testing.T) {
 	is := is.New(t)
-	v := NewLogged(3)
+	v := NewWithLog(3)
 	for rev := range int64(5) {
 		v.ApplyBatch(ports.Batch{Items: []ports.Item{{Key: "k", Revision: rev + 1}}, Revision: rev + 1})
 	}
-	items, complete, ok := v.Log(2)
+	items, complete, ok := v.ChangesSince(2)
 	is.True(ok)
 	is.Equal(len(items), 3)
 	is.Equal(complete, int64(5))
-	_, _, ok = v.Log(1)
+	_, _, ok = v.ChangesSince(1)
 	is.True(!ok)
 }
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -243,7 +243,7 @@
 	b.eventually("all nodes know all nodes and upstreams", func() bool {
 		for _, n := range b.nodes {
 			s := b.state(n)
-			if len(s.Nodes) != o.nodes || len(s.Upstreams) < o.engines+o.services || s.MapPassive > 0 {
+			if len(s.Nodes) != o.nodes || len(s.Upstreams) < o.engines+o.services || s.PassiveShards > 0 {
 				return false
 			}
 		}
@@ -481,8 +481,8 @@
 	return out
 }
 
-func (b *bench) inForce(version int64) operator.InForce {
-	var f operator.InForce
+func (b *bench) inForce(version int64) operator.RolloutStatus {
+	var f operator.RolloutStatus
 	_ = get(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &f)
 	return f
 }
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -89,7 +89,7 @@
 	go func() {
 		defer close(faulted)
 		for i := 0; ; i++ {
-			f := []standin.KVFaults{{LoseAnswers: 3}, {Down: true}, {}, {DelayMS: 150}, {LoseAnswers: 2, StaleReads: true}, {}}[i%6]
+			f := []standin.KVFaults{{DropResponses: 3}, {Down: true}, {}, {DelayMS: 150}, {DropResponses: 2, StaleReads: true}, {}}[i%6]
 			b.kvFaults(f)
 			select {
 			case <-stopFaults:
@@ -182,7 +182,7 @@
 	status, _ = b.put(1, model(3), first.Version, "three")
 	is.Equal(status, http.StatusPreconditionFailed)
 
-	b.kvFaults(standin.KVFaults{LoseAnswers: 1})
+	b.kvFaults(standin.KVFaults{DropResponses: 1})
 	var have catalog.Resource
 	get(b.resourceURL(0, model(0)), token, &have)
 	status, stored := b.put(0, model(4), have.Version, "four") // its answer is lost between the store and the API
@@ -210,7 +210,7 @@
 	t.Logf("in force on a node cut off from the key-value service after %d ms", time.Since(began).Milliseconds())
 	is.True(time.Since(began) < 5*time.Second)
 	s := b.state(b.nodes[3])
-	is.Equal(s.Source, "peer")
+	is.Equal(s.RevisionSource, "peer")
 
 	req, _ := http.NewRequest(http.MethodDelete, b.resourceURL(0, catalog.Resource{Kind: "model", Name: "late"}), nil)
 	req.Header.Set("Authorization", "Bearer "+token)
@@ -225,7 +225,7 @@
 	b.eventually("a node started during the outage is ready", func() bool {
 		return get("http://"+late.callers+"/readyz", "", nil) == http.StatusOK
 	})
-	is.Equal(b.state(late).Source, "peer")
+	is.Equal(b.state(late).RevisionSource, "peer")
 	is.Equal(late.send(chat("hello", 3, false)).status, http.StatusOK)
 	is.Equal(late.send(booking("late")).status, http.StatusOK)
 	for _, n := range b.nodes[:4] {
@@ -264,7 +264,7 @@
 func (b *bench) inForceRevision() int64 {
 	var s control.State
 	get("http://"+b.controls[1]+"/debug/state", token, &s)
-	return s.Complete
+	return s.CompleteRevision
 }
 
 func (b *bench) watchRequest(control int, from int64) *http.Request {
@@ -321,7 +321,7 @@
 func TestPlannerFrozenPastItsLease(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: offers, control: ", lease: 2s, most_servers: 50"})
-	b.eventually("the planner has bought what is needed", func() bool { return b.cost().Living >= 3+3 })
+	b.eventually("the planner has bought what is needed", func() bool { return b.cost().Running >= 3+3 })
 	holder := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
 	old := b.controlState(holder).Epoch
 	b.ctlProcs[holder].signal(syscall.SIGSTOP)
@@ -334,7 +334,7 @@
 	})
 	is.True(!b.controlState(holder).Leading)
 	// 5 servers must be left of climb: 3 domains with 3, 3 and 2 of them.
-	living := b.cost().Living - 3
+	living := b.cost().Running - 3
 	is.Equal(living, 8)
 	is.Equal(b.cost().Bought, living) // none bought beyond, none given back
 }
@@ -351,7 +351,7 @@
 func TestPlannerKilledAtEveryStep(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, controls: 2, offers: offers, control: ", lease: 2s, most_servers: 50"})
-	b.admin(b.cloud, "faults", standin.CloudFaults{LoseAnswers: 4, LagMS: 700})
+	b.admin(b.cloud, "faults", standin.CloudFaults{DropResponses: 4, LagMS: 700})
 	b.applyAt(0, surge("rides", time.Now().Add(time.Second), 4))
 	for i := range 6 {
 		at := i % 2
@@ -371,9 +371,9 @@
 		if !leader.Leading {
 			leader = b.controlState(1)
 		}
-		return leader.Leading && len(leader.Intents) == 6 && b.cost().Living == 3+6
+		return leader.Leading && len(leader.Intents) == 6 && b.cost().Running == 3+6
 	})
-	is.Equal(b.cost().Living, 9)
+	is.Equal(b.cost().Running, 9)
 }
 
 // A failure domain is taken back as the event starts and replacements are
@@ -386,7 +386,7 @@
 	b.eventually("in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
 	b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
 	began := time.Now()
-	b.admin(b.cloud, "reclaim", standin.Reclaim{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
+	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
 	b.eventually("degraded", func() bool { return b.eventStatus("rides").Phase == event.Degraded })
 	told := time.Since(began)
 	b.eventually("the reason names the refusal", func() bool {
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -86,15 +86,15 @@
 	first, second := b.server("i-1"), b.server("i-2")
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	for _, manner := range []fake.Manner{fake.Full, fake.Elsewhere} {
-		first.Behave(manner)
+	for _, manner := range []fake.Behavior{fake.Full, fake.WrongServer} {
+		first.SetBehavior(manner)
 		for i := range 6 {
 			id := fmt.Sprintf("%s-%d", manner, i)
 			is.Equal(n.ask(gatewayAsk{method: "POST", path: "/once/x", id: id, body: "b"}).status, http.StatusOK)
 			is.Equal(runsOf(second, id), 1)
 		}
 	}
-	second.Behave(fake.Full)
+	second.SetBehavior(fake.Full)
 	got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: "full", body: "b"})
 	is.Equal(got.status, http.StatusServiceUnavailable) // nobody ran it, and it may come back
 	is.True(got.header.Get("Retry-After") != "")
@@ -122,9 +122,9 @@
 	servers := []*fake.Server{b.server("i-1"), b.server("i-2")}
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	for _, manner := range []fake.Manner{fake.Resetting, fake.OtherID} {
+	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.WrongRequestID} {
 		for _, s := range servers {
-			s.Behave(manner)
+			s.SetBehavior(manner)
 		}
 		id := "once-" + string(manner)
 		got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: id, body: "b"})
@@ -140,15 +140,15 @@
 	servers := []*fake.Server{b.server("i-1"), b.server("i-2")}
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	for _, manner := range []fake.Manner{fake.Resetting, fake.Failing, fake.OtherID} {
-		servers[0].Behave(manner)
+	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.Failing, fake.WrongRequestID} {
+		servers[0].SetBehavior(manner)
 		for i := range 4 {
 			got := n.ask(gatewayAsk{method: "GET", path: "/repeat/x", id: fmt.Sprintf("%s-%d", manner, i)})
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, "answer of i-2")
 		}
 	}
-	servers[1].Behave(fake.Failing)
+	servers[1].SetBehavior(fake.Failing)
 	got := n.ask(gatewayAsk{method: "GET", path: "/repeat/x", id: "both"})
 	is.Equal(got.status, http.StatusInternalServerError) // the servers' own answer, whole
 	is.True(got.header.Get("Server-Stamp") != "")
@@ -161,11 +161,11 @@
 	s := b.server("i-1")
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	s.Behave(fake.Mute)
+	s.SetBehavior(fake.Unresponsive)
 	got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: "slow", body: "b"})
 	is.Equal(got.status, http.StatusGatewayTimeout)
 	is.True(got.took >= 900*time.Millisecond && got.took < 1400*time.Millisecond)
-	b.eventually("the server is told", func() bool { return s.Gone() == 1 })
+	b.eventually("the server is told", func() bool { return s.ClientDisconnects() == 1 })
 }
 
 const streamHeader = "a:10,b:20"
@@ -187,7 +187,7 @@
 	broken, sound := b.server("i-1"), b.server("i-2")
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	broken.Behave(fake.HalfStream)
+	broken.SetBehavior(fake.TruncatedStream)
 	resumed := 0
 	for i := range 8 {
 		header := map[string]string{"Prompt-Prefix": fmt.Sprintf("a:10,b%d:20,c:30", i)}
@@ -212,7 +212,7 @@
 	s := b.server("i-1")
 	n := b.start(b.store.Address())
 	b.listed(n, "p")
-	s.Behave(fake.HalfStream)
+	s.SetBehavior(fake.TruncatedStream)
 	got := n.ask(gatewayAsk{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
 	is.True(got.err != nil)
 	is.Equal(runsOf(s, "s"), 1)
@@ -250,7 +250,7 @@
 	// The second node's store answers nothing but 503.
 	shut := fake.NewStore()
 	t.Cleanup(shut.Close)
-	shut.Trouble(fake.Troubles{Busy: true})
+	shut.SetFaults(fake.Faults{Busy: true})
 	n := b.start(shut.Address(), sound.set.Listen.Peers)
 	b.listed(n, "q")
 	b.config["Tenants"] = []any{}
@@ -311,7 +311,7 @@
 	b.listed(first, "p")
 	asked := 0
 	for round := range 8 {
-		b.store.Trouble(fake.Troubles{LoseAnswers: round%2 == 1})
+		b.store.SetFaults(fake.Faults{DropResponses: round%2 == 1})
 		for _, n := range b.nodes {
 			if n.ask(gatewayAsk{method: "POST", path: "/once/x", id: fmt.Sprintf("u%d%s", round, n.set.Node), body: "b"}).status == http.StatusOK {
 				asked++
@@ -322,7 +322,7 @@
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
-	b.store.Trouble(fake.Troubles{})
+	b.store.SetFaults(fake.Faults{})
 	reported := func() (total int) {
 		seen := map[float64]string{}
 		fences := int64(0)
@@ -332,10 +332,10 @@
 			if old, ok := seen[window]; ok && old != string(counts) {
 				t.Fatalf("window %v was reported as %s and %s", window, old, counts)
 			}
-			if call.Fence < fences {
-				t.Fatalf("fence %d after %d", call.Fence, fences)
+			if call.FencingToken < fences {
+				t.Fatalf("fence %d after %d", call.FencingToken, fences)
 			}
-			seen[window], fences = string(counts), call.Fence
+			seen[window], fences = string(counts), call.FencingToken
 		}
 		for _, counts := range seen {
 			var of map[string]int
--- a/test/incident_test.go
+++ b/test/incident_test.go
@@ -92,7 +92,7 @@
 	var servers []*fake.Server
 	for i := range count {
 		s := b.server(fmt.Sprint("i-", i))
-		s.Behave(fake.Full)
+		s.SetBehavior(fake.Full)
 		servers = append(servers, s)
 	}
 	return servers
@@ -155,7 +155,7 @@
 	n := b.start(b.store.Address())
 	b.listed(n, "before")
 	for _, s := range servers {
-		s.Behave(fake.Mute)
+		s.SetBehavior(fake.Unresponsive)
 	}
 	answers := make(chan gatewayAnswer, 1)
 	go func() { answers <- n.ask(gatewayAsk{method: http.MethodGet, path: "/repeat/x", id: "waits"}) }()
@@ -164,7 +164,7 @@
 	if runsOf(other, "waits") == 1 {
 		first, other = other, first
 	}
-	other.Behave(fake.Well)
+	other.SetBehavior(fake.Healthy)
 	entry := first.Entry("plain", "zone-1", "ready")
 	entry["born"] = time.Now().UnixMilli()
 	b.store.Put("servers/"+first.ID, entry)
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -139,7 +139,7 @@
 		{"surge, a domain taken back at its start", "500", surged, func(b *bench) { b.reclaimDomain("fd-b", 2*time.Second) }},
 		{"steady, half the cache events lost", "500", steady, func(b *bench) {
 			for _, e := range b.engines {
-				b.admin(e.addr, "faults", standin.EngineFaults{LoseEvents: 0.5})
+				b.admin(e.addr, "faults", standin.EngineFaults{DropCacheEvents: 0.5})
 			}
 		}},
 	} {
@@ -197,7 +197,7 @@
 			degraded := make(chan time.Duration, 1)
 			time.AfterFunc(5*time.Second, func() {
 				b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
-				b.admin(b.cloud, "reclaim", standin.Reclaim{FailureDomain: "fd-a", Role: "engine", NoticeMS: 1000})
+				b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-a", Role: "engine", NoticeMS: 1000})
 				time.AfterFunc(5*time.Second, func() { b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-a"}}) })
 			})
 			go func() {
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -116,7 +116,7 @@
 				c.after(b)
 				// What the thawed node still does, it does before it answers this.
 				b.eventually("the node answers again", func() bool { return b.state(b.nodes[0]).Node.Name != "" && b.state(b.nodes[3]).Node.Name != "" })
-				b.eventually("its requests have ended", func() bool { return b.state(b.nodes[0]).Open == 0 })
+				b.eventually("its requests have ended", func() bool { return b.state(b.nodes[0]).OpenRequests == 0 })
 			}
 			completed, unsure, notRun := checkOnce(t, b, results)
 			t.Logf("%d callers: %d completed, %d may have run, %d not run", n, completed, unsure, notRun)
@@ -265,11 +265,11 @@
 	}
 
 	b.kvFaults(standin.KVFaults{})
-	b.admin(b.cloud, "reclaim", standin.Reclaim{Name: nodeName(3), NoticeMS: 0})
-	b.admin(b.cloud, "reclaim", standin.Reclaim{Name: nodeName(4), NoticeMS: 0})
+	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(3), NoticeMS: 0})
+	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(4), NoticeMS: 0})
 	b.eventually("the shards are whole again", func() bool {
 		s := b.state(b.nodes[0])
-		return s.MapPassive == 0 && len(s.Shards) == s.MapShards
+		return s.PassiveShards == 0 && len(s.Shards) == s.MapShards
 	})
 	is.Equal(b.nodes[0].send(booking("healed").with("Crankridge-Attempt", "1")).status, 200)
 }
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -227,7 +227,7 @@
 	is.True(n.waitStopped(stopWithin))
 	b.eventually("its shards are kept by others", func() bool {
 		s := b.state(b.nodes[1])
-		return s.MapPassive == 0 && len(s.Shards) == s.MapShards
+		return s.PassiveShards == 0 && len(s.Shards) == s.MapShards
 	})
 	is.Equal(b.nodes[1].send(booking("after")).status, 200)
 }
--- a/test/reclaim_test.go
+++ b/test/reclaim_test.go
@@ -64,7 +64,7 @@
 // reclaimDomain takes back a domain's engines as the cloud does: with a
 // notice, and at its end the VMs are gone whatever runs on them.
 func (b *bench) reclaimDomain(domain string, notice time.Duration) (gone <-chan struct{}) {
-	b.admin(b.cloud, "reclaim", standin.Reclaim{FailureDomain: domain, Role: "engine", NoticeMS: notice.Milliseconds()})
+	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: domain, Role: "engine", NoticeMS: notice.Milliseconds()})
 	done := make(chan struct{})
 	go func() {
 		<-time.After(notice)
@@ -126,7 +126,7 @@
 		sign func(b *bench, e *engineProc)
 	}{
 		{"the cloud's notice", func(b *bench, e *engineProc) {
-			b.admin(b.cloud, "reclaim", standin.Reclaim{Name: e.name, NoticeMS: 60000})
+			b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
 		{"the engine's own word", func(b *bench, e *engineProc) {
 			b.admin(e.addr, "leave", map[string]int64{"deadline_ms": time.Now().Add(time.Minute).UnixMilli()})
@@ -134,7 +134,7 @@
 		{"a lost connection", func(_ *bench, e *engineProc) { e.signal(syscall.SIGKILL) }},
 		{"the cloud's notice, key-value service down", func(b *bench, e *engineProc) {
 			b.kvFaults(standin.KVFaults{Down: true})
-			b.admin(b.cloud, "reclaim", standin.Reclaim{Name: e.name, NoticeMS: 60000})
+			b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -253,7 +253,7 @@
 	first := make(chan reply, 1)
 	go func() { first <- b.nodes[0].send(a) }()
 	<-ids
-	b.admin(b.cloud, "reclaim", standin.Reclaim{Name: b.nodes[0].name, NoticeMS: 3000})
+	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: b.nodes[0].name, NoticeMS: 3000})
 	r := <-first
 	is.True(!r.whole) // six seconds do not fit in three
 	is.Equal(r.outcome, "may-have-run")
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -320,29 +320,29 @@
 func (s *soak) serverLink() { s.disturb(s.links[s.pick(len(s.links))]) }
 
 func (s *soak) serverManner() {
-	manners := []fake.Manner{fake.Full, fake.Failing, fake.Mute, fake.Resetting, fake.OtherID, fake.HalfStream}
+	manners := []fake.Behavior{fake.Full, fake.Failing, fake.Unresponsive, fake.ConnectionReset, fake.WrongRequestID, fake.TruncatedStream}
 	server := s.servers[s.pick(len(s.servers))]
-	server.Behave(manners[s.pick(len(manners))])
+	server.SetBehavior(manners[s.pick(len(manners))])
 	time.Sleep(s.between(100*time.Millisecond, 1500*time.Millisecond))
-	server.Behave(fake.Well)
+	server.SetBehavior(fake.Healthy)
 }
 
 func (s *soak) storeTrouble() {
-	troubles := []fake.Troubles{{Busy: true}, {Silent: true}, {Deaf: true}, {LoseAnswers: true}}
-	s.store.Trouble(troubles[s.pick(len(troubles))])
+	troubles := []fake.Faults{{Busy: true}, {Unresponsive: true}, {WatchesStalled: true}, {DropResponses: true}}
+	s.store.SetFaults(troubles[s.pick(len(troubles))])
 	time.Sleep(s.between(100*time.Millisecond, 2*time.Second))
-	s.store.Forget()
-	s.store.Trouble(fake.Troubles{})
+	s.store.Compact()
+	s.store.SetFaults(fake.Faults{})
 }
 
 // allFull lets every server reject what it is sent for a while.
 func (s *soak) allFull() {
 	for _, server := range s.servers {
-		server.Behave(fake.Full)
+		server.SetBehavior(fake.Full)
 	}
 	time.Sleep(s.between(200*time.Millisecond, 1500*time.Millisecond))
 	for _, server := range s.servers {
-		server.Behave(fake.Well)
+		server.SetBehavior(fake.Healthy)
 	}
 }
 
@@ -365,7 +365,7 @@
 // bornAgain lets a server crash and start again under its id.
 func (s *soak) bornAgain() {
 	i := s.pick(len(s.servers))
-	s.servers[i].StartAgain()
+	s.servers[i].Restart()
 	time.Sleep(s.between(50*time.Millisecond, time.Second))
 	s.list(i)
 }
@@ -416,13 +416,13 @@
 // calm ends all faults. The last of them is that all open connections fall
 // silent while an entry that cannot be read lies in the store, whose history is gone.
 func (s *soak) calm() {
-	s.store.Trouble(fake.Troubles{})
+	s.store.SetFaults(fake.Faults{})
 	s.cloud.SetDown(false)
 	for _, server := range s.servers {
-		server.Behave(fake.Well)
+		server.SetBehavior(fake.Healthy)
 	}
 	s.store.PutRaw("servers/foreign-0", "no base64 !")
-	s.store.Forget()
+	s.store.Compact()
 	for _, l := range s.links {
 		l.silenceOpen()
 	}
@@ -578,12 +578,12 @@
 		if old, ok := windows[window]; ok && old != string(counts) {
 			s.problem("window %v was reported as %s and %s", window, old, counts)
 		}
-		if old, ok := holders[call.Fence]; ok && old != call.Holder {
-			s.problem("fence %d was used by %s and %s", call.Fence, old, call.Holder)
+		if old, ok := holders[call.FencingToken]; ok && old != call.Holder {
+			s.problem("fence %d was used by %s and %s", call.FencingToken, old, call.Holder)
 		}
-		if call.Fence < highest {
-			s.problem("fence %d came after %d", call.Fence, highest)
+		if call.FencingToken < highest {
+			s.problem("fence %d came after %d", call.FencingToken, highest)
 		}
-		windows[window], holders[call.Fence], highest = string(counts), call.Holder, max(highest, call.Fence)
+		windows[window], holders[call.FencingToken], highest = string(counts), call.Holder, max(highest, call.FencingToken)
 	}
 }
