--- a/src/gateway/cache.go
+++ b/src/gateway/cache.go
@@ -7,58 +7,57 @@
 	"time"
 )
 
-// Bounds of what is believed of engines' memory.
 const (
-	believeFor  = 30 * time.Second // after its last use a part may have given way
-	beliefsMost = 50000            // beliefs kept; the rest are dropped at random
+	cacheEntryTTL   = 30 * time.Second // engines may evict a prompt part this long after its last use
+	maxCacheEntries = 50000            // entries beyond this are evicted in random order
 )
 
-// beliefs is what this node believes the engines keep in memory, from the
-// prompts that it saw them read.
-type beliefs struct {
-	mu   sync.Mutex
-	kept map[belief]time.Time
-	now  func() time.Time
+// cacheTracker estimates which prompt parts each engine holds in its prefix
+// cache, based on the prompts that this node has seen it process.
+type cacheTracker struct {
+	mu       sync.Mutex
+	lastUsed map[cacheKey]time.Time
+	now      func() time.Time
 }
 
-type belief struct{ server, part string }
+type cacheKey struct{ server, part string }
 
-func newBeliefs(now func() time.Time) *beliefs {
-	return &beliefs{kept: map[belief]time.Time{}, now: now}
+func newCacheTracker(now func() time.Time) *cacheTracker {
+	return &cacheTracker{lastUsed: map[cacheKey]time.Time{}, now: now}
 }
 
-// read notes that an engine has read a prompt.
-func (b *beliefs) read(server string, parts []part) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
+// record notes that an engine has processed the given prompt parts.
+func (c *cacheTracker) record(server string, parts []promptPart) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
 	for _, p := range parts {
-		b.kept[belief{server, p.id}] = now
+		c.lastUsed[cacheKey{server, p.id}] = now
 	}
-	for key, at := range b.kept {
-		if len(b.kept) <= beliefsMost {
+	for key, at := range c.lastUsed {
+		if len(c.lastUsed) <= maxCacheEntries {
 			break
 		}
-		if now.Sub(at) > believeFor || len(b.kept) > beliefsMost {
-			delete(b.kept, key)
+		if now.Sub(at) > cacheEntryTTL || len(c.lastUsed) > maxCacheEntries {
+			delete(c.lastUsed, key)
 		}
 	}
 }
 
-// forget drops what is believed of servers whose life is over.
-func (b *beliefs) forget(servers []string) {
+// removeServers drops all entries of servers that have stopped or restarted.
+func (c *cacheTracker) removeServers(servers []string) {
 	if len(servers) == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	maps.DeleteFunc(b.kept, func(key belief, _ time.Time) bool { return slices.Contains(servers, key.server) })
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	maps.DeleteFunc(c.lastUsed, func(key cacheKey, _ time.Time) bool { return slices.Contains(servers, key.server) })
 }
 
-// holds tells whether an engine is believed to keep a part.
-func (b *beliefs) holds(server, part string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at, ok := b.kept[belief{server, part}]
-	return ok && b.now().Sub(at) < believeFor
+// mayHold reports whether a server is likely to have a prompt part cached.
+func (c *cacheTracker) mayHold(server, part string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at, ok := c.lastUsed[cacheKey{server, part}]
+	return ok && c.now().Sub(at) < cacheEntryTTL
 }
--- a/src/gateway/choose.go
+++ b/src/gateway/choose.go
@@ -9,50 +9,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the choice.
+// Weights of the load estimate.
 const (
-	failureWeight = 8.0   // requests that a server that always fails seems to have more
-	requestTokens = 150.0 // prompt tokens that a running request delays a new prompt by
-	readWeight    = 1.5   // of tokens to read against tokens that wait: reading again costs others too
+	failureWeight    = 8.0   // requests added to the load of a server whose failure rate is 1
+	tokensPerRequest = 150.0 // prefill cost that one running request is equivalent to
+	prefillWeight    = 1.5   // uncached tokens weigh more than queued ones: prefilling them delays other requests too
 )
 
-// candidate is a server that may take a request, with its load at all nodes.
+// candidate is a server that may receive a request, with its load from all nodes.
 type candidate struct {
-	upstream *upstream
-	id       string
-	domain   string
-	slots    int
-	requests int
-	unread   int64
-	failRate float64
+	upstream       *upstream
+	id             string
+	domain         string
+	slots          int
+	requests       int
+	pendingPrefill int64
+	failureRate    float64
 }
 
 func (c candidate) load() float64 {
-	return float64(c.requests) + failureWeight*c.failRate
+	return float64(c.requests) + failureWeight*c.failureRate
 }
 
-// part is one part of a prompt; the last of a prompt belongs to the request
-// or its session alone.
-type part struct {
+// promptPart is a segment of a prompt. The last segment is specific to the
+// request or its session; the others may be shared.
+type promptPart struct {
 	id     string
 	tokens int64
 }
 
-// parseParts reads "ID:TOKENS,ID:TOKENS"; what it cannot read it leaves out.
-func parseParts(text string) []part {
-	var out []part
+// parsePromptParts parses "ID:TOKENS,ID:TOKENS" and skips malformed items.
+func parsePromptParts(text string) []promptPart {
+	var out []promptPart
 	for _, item := range strings.Split(text, ",") {
 		id, count, ok := strings.Cut(strings.TrimSpace(item), ":")
 		tokens, err := strconv.ParseInt(count, 10, 64)
 		if ok && err == nil && tokens >= 0 {
-			out = append(out, part{id, tokens})
+			out = append(out, promptPart{id, tokens})
 		}
 	}
 	return out
 }
 
-// leastLoaded picks the candidate with the lowest load, one of the own
-// failure domain first, then at random.
+// leastLoaded picks the candidate with the lowest load. Ties go to the local
+// failure domain, then to a random candidate.
 func leastLoaded(list []candidate, domain string, rng *rand.Rand) (candidate, bool) {
 	if len(list) == 0 {
 		return candidate{}, false
@@ -77,56 +77,56 @@
 	return best, true
 }
 
-// prompt is what the choice of an engine depends on.
+// prompt describes a prompt for engine selection.
 type prompt struct {
-	parts  []part
-	tokens int64 // of all parts
-	// holds tells whether an engine is believed to keep a part in memory.
-	holds func(server, part string) bool
+	parts  []promptPart
+	tokens int64 // total of all parts
+	// mayHold reports whether a server is likely to have a part cached.
+	mayHold func(server, part string) bool
 }
 
-// unread is how many tokens of the prompt a candidate would have to read. The
-// home of the shared parts is taken to keep them.
-func (p prompt) unread(c candidate, home string) int64 {
-	left := p.tokens
-	for i, one := range p.parts {
+// uncachedTokens returns how many tokens of the prompt a candidate would have
+// to prefill. The owner is assumed to have the shared parts cached.
+func (p prompt) uncachedTokens(c candidate, owner string) int64 {
+	remaining := p.tokens
+	for i, part := range p.parts {
 		shared := i < len(p.parts)-1
-		if !(shared && c.id == home) && !p.holds(c.id, one.id) {
+		if !(shared && c.id == owner) && !p.mayHold(c.id, part.id) {
 			break
 		}
-		left -= one.tokens
+		remaining -= part.tokens
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
-// chooseEngine picks the engine that has the least to do before this prompt is
-// read, the reading of what it does not keep included. It returns the tokens
-// to be read there as well.
-func chooseEngine(list []candidate, p prompt, domain string, rng *rand.Rand) (best candidate, unread int64, ok bool) {
+// chooseEngine picks the engine with the least work ahead of the first token,
+// including the prefill of the uncached part of this prompt. It also returns
+// the number of tokens to be prefilled there.
+func chooseEngine(list []candidate, p prompt, domain string, rng *rand.Rand) (best candidate, uncached int64, ok bool) {
 	if len(list) == 0 {
 		return candidate{}, 0, false
 	}
-	home := ""
+	owner := ""
 	if len(p.parts) >= 2 {
-		home = homeOf(list, p.parts[len(p.parts)-2].id).id
+		owner = rendezvousOwner(list, p.parts[len(p.parts)-2].id).id
 	}
-	least := math.Inf(1)
-	// The one to look at first differs, so that nodes do not all choose the same of equals.
-	first := rng.IntN(len(list))
+	lowest := math.Inf(1)
+	// Start at a random candidate so that nodes do not all pick the same one of several equals.
+	offset := rng.IntN(len(list))
 	for i := range list {
-		c := list[(first+i)%len(list)]
-		tokens := p.unread(c, home)
-		work := float64(c.unread) + readWeight*float64(tokens) + requestTokens*c.load()
-		if work < least || work == least && c.domain == domain {
-			best, unread, least = c, tokens, work
+		c := list[(offset+i)%len(list)]
+		tokens := p.uncachedTokens(c, owner)
+		work := float64(c.pendingPrefill) + prefillWeight*float64(tokens) + tokensPerRequest*c.load()
+		if work < lowest || work == lowest && c.domain == domain {
+			best, uncached, lowest = c, tokens, work
 		}
 	}
-	return best, unread, true
+	return best, uncached, true
 }
 
-// homeOf is the candidate with the highest hash together with the part, so
-// that a change of the list moves only what it must.
-func homeOf(list []candidate, part string) candidate {
+// rendezvousOwner picks the candidate for a prompt part by rendezvous hashing,
+// so that adding or removing a server moves only the parts that it owns.
+func rendezvousOwner(list []candidate, part string) candidate {
 	best, bestHash := list[0], uint64(0)
 	for _, c := range list {
 		if hash := xxhash.Sum64String(part + "\x00" + c.id); hash >= bestHash {
--- a/src/gateway/choose_test.go
+++ b/src/gateway/choose_test.go
@@ -18,53 +18,53 @@
 	return out
 }
 
-// aPrompt has shared parts that some engine is the home of.
-func aPrompt() prompt {
+// samplePrompt returns a prompt with one shared part and nothing cached.
+func samplePrompt() prompt {
 	return prompt{
-		parts: []part{{"shared", 10000}, {"own", 1000}}, tokens: 11000,
-		holds: func(string, string) bool { return false },
+		parts: []promptPart{{"shared", 10000}, {"own", 1000}}, tokens: 11000,
+		mayHold: func(string, string) bool { return false },
 	}
 }
 
-func TestPromptsGoToTheHomeOfTheirSharedPart(t *testing.T) {
+func TestChooseEnginePrefersOwnerOfSharedPart(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(time.Now)
-	f.set(engines("a", "b", "c", "d"))
+	pool := newUpstreamPool(time.Now)
+	pool.update(engines("a", "b", "c", "d"))
 	rng := rand.New(rand.NewPCG(1, 2))
-	first, unread, ok := chooseEngine(f.candidates("llm", nil), aPrompt(), "d1", rng)
+	first, uncached, ok := chooseEngine(pool.candidates("llm", nil), samplePrompt(), "d1", rng)
 	is.True(ok)
-	is.Equal(unread, int64(1000)) // the home is taken to keep what is shared
+	is.Equal(uncached, int64(1000)) // the owner is assumed to have the shared part cached
 	for range 20 {
-		again, _, _ := chooseEngine(f.candidates("llm", nil), aPrompt(), "d1", rng)
+		again, _, _ := chooseEngine(pool.candidates("llm", nil), samplePrompt(), "d1", rng)
 		is.Equal(again.id, first.id)
 	}
 }
 
-func TestFailingServersAreEjectedForAWhile(t *testing.T) {
+func TestFailingServerIsEjectedTemporarily(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	f := newFleet(func() time.Time { return now })
-	f.set(engines("a", "b"))
-	bad := f.upstreams["a"]
+	pool := newUpstreamPool(func() time.Time { return now })
+	pool.update(engines("a", "b"))
+	failing := pool.byID["a"]
 	for range failuresToEject {
-		f.failed(bad, false)
+		pool.recordFailure(failing, false)
 	}
-	list := f.candidates("llm", nil)
+	list := pool.candidates("llm", nil)
 	is.Equal(len(list), 1)
 	is.Equal(list[0].id, "b")
-	list = f.candidates("llm", map[string]bool{"b": true})
-	is.Equal(len(list), 1) // better one that failed than none
-	now = now.Add(ejectMost)
-	is.Equal(len(f.candidates("llm", nil)), 2)
+	list = pool.candidates("llm", map[string]bool{"b": true})
+	is.Equal(len(list), 1) // an ejected server is used when there is no other
+	now = now.Add(maxEjection)
+	is.Equal(len(pool.candidates("llm", nil)), 2)
 }
 
-func TestLoadsThatAreNotToldOneByOneAreTheMean(t *testing.T) {
+func TestUnlistedRemoteLoadUsesMean(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(time.Now)
-	f.set(engines("a", "b"))
-	f.setElsewhere(map[string]remoteLoad{"a": {requests: 9, unread: 5000}}, remoteLoad{requests: 2, unread: 100})
-	list := f.candidates("llm", nil)
+	pool := newUpstreamPool(time.Now)
+	pool.update(engines("a", "b"))
+	pool.setRemoteLoads(map[string]serverLoad{"a": {requests: 9, pendingPrefill: 5000}}, serverLoad{requests: 2, pendingPrefill: 100})
+	list := pool.candidates("llm", nil)
 	is.Equal(list[0].requests, 9)
 	is.Equal(list[1].requests, 2)
-	is.Equal(list[1].unread, int64(100))
+	is.Equal(list[1].pendingPrefill, int64(100))
 }
--- a/src/gateway/forward.go
+++ b/src/gateway/forward.go
@@ -13,226 +13,228 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-// Bounds of trying again.
+// Limits of resending, and the responses when it fails.
 const (
-	sendsMost     = 4 // servers that one attempt of a client is offered to
-	refusedWait   = 150 * time.Millisecond
-	noServerWait  = 300 * time.Millisecond
-	aheadPart     = 4 // of a prompt: with more than this part ahead of it, it tells nothing of the rate of reading
-	unknownStatus = http.StatusBadGateway
+	maxSends              = 4 // servers that one client request is sent to
+	serversFullRetryAfter = 150 * time.Millisecond
+	noServerRetryAfter    = 300 * time.Millisecond
+	backlogDivisor        = 4 // prefill rates are sampled only if the backlog is below 1/backlogDivisor of the prompt's own tokens
+	outcomeUnknownStatus  = http.StatusBadGateway
 )
 
-// flight is one attempt of a client on its way.
-type flight struct {
-	n       *Node
-	a       *ask
-	reply   *reply
-	avoid   map[string]bool
-	sends   int            // that reached a server or tried to
-	reached int            // that reached a server, or may have
-	runs    int            // that ran or may have run
-	counted bool           // in the usage
-	unread  int64          // tokens that count as waiting at the present server
-	begun   bool           // the first event of the present server has come
-	passed  time.Time      // when events were passed on last
-	last    *http.Response // a server's own failure, kept in case no better answer comes
-	lastRaw []byte
-	inputs  []any // what decided against a retry, as keys and values for the log
+// forwarder forwards one client request, and resends it to other servers where
+// that is allowed.
+type forwarder struct {
+	node            *Node
+	req             *clientRequest
+	response        *clientResponse
+	excluded        map[string]bool
+	sends           int // sends attempted
+	reached         int // sends that reached a server, or may have
+	runs            int // sends that a server executed, or may have
+	usageCounted    bool
+	pendingPrefill  int64 // tokens counted in the current server's backlog
+	gotFirstEvent   bool  // from the current server
+	lastEventAt     time.Time
+	lastFailure     *http.Response // 5xx response of a server, relayed if no other server succeeds
+	lastFailureBody []byte
+	budgetLogValues []any // key-value pairs for the log when the retry budget was exhausted
 }
 
-// forward carries an attempt to its end: choose, send, relay, and again
-// elsewhere where that is allowed. It returns the refusal to answer with, or
-// nil when the answer has gone out.
-func (n *Node) forward(w http.ResponseWriter, a *ask) *refusal {
-	ctx, cancel := context.WithDeadline(a.request.Context(), a.deadline)
+// forward sends the request to servers until one gives a response to relay. It
+// returns nil once the response has been sent, or the refusal to respond with.
+func (n *Node) forward(w http.ResponseWriter, req *clientRequest) *refusal {
+	ctx, cancel := context.WithDeadline(req.request.Context(), req.deadline)
 	defer cancel()
-	f := &flight{n: n, a: a, reply: &reply{writer: w}, avoid: map[string]bool{}}
-	n.budget.Earn(a.service, a.arrived.Sub(n.began))
-	if unshared := a.unshared(); unshared > 0 {
-		n.scaler.meter(a.service).RecordPrompt(unshared, a.arrived)
+	f := &forwarder{node: n, req: req, response: &clientResponse{writer: w}, excluded: map[string]bool{}}
+	n.retryBudget.Earn(req.service, req.arrived.Sub(n.startedAt))
+	if ownTokens := req.ownTokens(); ownTokens > 0 {
+		n.scaler.meter(req.service).RecordPrompt(ownTokens, req.arrived)
 	}
 	for {
-		s, unread, ok := n.choose(a, f.avoid)
+		s, uncached, ok := n.chooseServer(req, f.excluded)
 		if !ok {
-			return f.end(ctx, codeNoServer, noServerWait)
+			return f.finish(ctx, codeNoServer, noServerRetryAfter)
 		}
-		if f.reached > 0 && !f.mayRetry() {
-			return f.end(ctx, codeRefused, refusedWait)
+		if f.reached > 0 && !f.spendRetryBudget() {
+			return f.finish(ctx, codeServersFull, serversFullRetryAfter)
 		}
-		done, err := f.try(ctx, s, unread)
+		done, err := f.try(ctx, s, uncached)
 		if done {
 			f.log("answered", s.id, err)
-			n.metrics.Answered(a.route.Name, strconv.Itoa(f.reply.status), time.Since(a.arrived))
+			n.metrics.Answered(req.route.Name, strconv.Itoa(f.response.status), time.Since(req.arrived))
 			return nil
 		}
 		f.log("failed", s.id, err)
 		if ctx.Err() != nil {
-			return f.end(ctx, codeTimeout, 0)
+			return f.finish(ctx, codeTimeout, 0)
 		}
-		if !f.mayTryAgain() {
-			return f.end(ctx, codeRefused, refusedWait)
+		if !f.mayResend() {
+			return f.finish(ctx, codeServersFull, serversFullRetryAfter)
 		}
-		f.avoid[s.id] = true
+		f.excluded[s.id] = true
 	}
 }
 
-// mayRetry takes one repeat from the budget, and keeps what decided for the log.
-func (f *flight) mayRetry() bool {
-	n := f.n
-	v := n.budget.Spend(f.a.service, n.roster.Count(), time.Since(n.began))
-	n.metrics.Retry(f.a.service, v.Granted, v.Nodes)
-	if !v.Granted {
-		f.inputs = []any{"budget_nodes", v.Nodes, "budget_requests", v.Requests, "budget_repeats", v.Retries, "budget_allowed", v.Allowed}
+// spendRetryBudget takes one retry from the budget and reports whether it was granted.
+func (f *forwarder) spendRetryBudget() bool {
+	n := f.node
+	decision := n.retryBudget.Spend(f.req.service, n.roster.Count(), time.Since(n.startedAt))
+	n.metrics.Retry(f.req.service, decision.Granted, decision.Nodes)
+	if !decision.Granted {
+		f.budgetLogValues = []any{"budget_nodes", decision.Nodes, "budget_requests", decision.Requests, "budget_repeats", decision.Retries, "budget_allowed", decision.Allowed}
 	}
-	return v.Granted
+	return decision.Granted
 }
 
-// mayTryAgain tells whether the attempt may go to another server.
-func (f *flight) mayTryAgain() bool {
+// mayResend reports whether the request may be sent to another server.
+func (f *forwarder) mayResend() bool {
 	switch {
-	case f.sends >= sendsMost:
+	case f.sends >= maxSends:
 		return false
 	case f.runs == 0:
 		return true
-	case f.reply.headSent && (!f.a.route.Resumable || f.reply.lastEvent == ""):
+	case f.response.headerSent && (!f.req.route.Resumable || f.response.lastEventID == ""):
 		return false
 	}
-	return f.a.route.Retryable() && f.runs < f.a.route.MaxAttempts
+	return f.req.route.Retryable() && f.runs < f.req.route.MaxAttempts
 }
 
-// try sends to one server and relays its answer; done says that the client
-// has its whole answer.
-func (f *flight) try(ctx context.Context, s *upstream, unread int64) (done bool, err error) {
-	n, a := f.n, f.a
+// try sends the request to one server and relays its response. done reports
+// whether the client has received a complete response.
+func (f *forwarder) try(ctx context.Context, s *upstream, uncached int64) (done bool, err error) {
+	n, req := f.node, f.req
 	if f.sends == 0 {
-		n.metrics.AddedLatency(a.route.Name, time.Since(a.arrived))
+		n.metrics.AddedLatency(req.route.Name, time.Since(req.arrived))
 	}
 	f.sends++
-	f.unread, f.begun = unread, false
-	n.fleet.begin(s, f.unread)
-	defer n.fleet.end(s)
-	defer f.promptRead(s)
-	lastEvent := f.reply.lastEvent
-	began := time.Now()
-	sent := n.send(ctx, a, s, lastEvent)
-	n.metrics.Sent(a.service, sent.fate.String())
-	defer sent.cancel()
-	if sent.fate != notSent {
+	f.pendingPrefill, f.gotFirstEvent = uncached, false
+	n.upstreams.beginRequest(s, f.pendingPrefill)
+	defer n.upstreams.endRequest(s)
+	defer f.prefillDone(s)
+	lastEventID := f.response.lastEventID
+	sentAt := time.Now()
+	result := n.send(ctx, req, s, lastEventID)
+	n.metrics.Sent(req.service, result.outcome.String())
+	defer result.cancel()
+	if result.outcome != outcomeNotSent {
 		f.reached++
 	}
-	switch sent.fate {
-	case notSent:
+	switch result.outcome {
+	case outcomeNotSent:
 		if ctx.Err() == nil {
-			n.fleet.failed(s, true)
+			n.upstreams.recordFailure(s, true)
 		}
-		return false, sent.err
-	case refused:
-		if sent.answer.StatusCode == http.StatusMisdirectedRequest {
-			n.serverLeft(s)
+		return false, result.err
+	case outcomeRefused:
+		if result.response.StatusCode == http.StatusMisdirectedRequest {
+			n.markDraining(s)
 		}
-		return false, errRefused
-	case unknown:
+		return false, errServerRefused
+	case outcomeUnknown:
 		f.runs++
-		f.ran()
+		f.countUsage()
 		if ctx.Err() == nil {
-			n.fleet.failed(s, false)
+			n.upstreams.recordFailure(s, false)
 		}
-		return false, sent.err
+		return false, result.err
 	}
 	f.runs++
-	defer func() { _ = sent.answer.Body.Close() }()
-	if isEventStream(sent.answer) {
-		err = f.reply.stream(sent.answer, n.stopping(), func() { f.passing(s, began) })
+	defer func() { _ = result.response.Body.Close() }()
+	if isEventStream(result.response) {
+		err = f.response.relayStream(result.response, n.stopping(), func() { f.onEvents(s, sentAt) })
 	} else {
-		f.ran()
-		done, err = f.plain(sent.answer, s)
+		f.countUsage()
+		done, err = f.relayResponse(result.response, s)
 		if !done && err == nil {
 			return false, errServerFailed
 		}
 	}
 	if err != nil {
 		if ctx.Err() == nil {
-			n.fleet.failed(s, false)
+			n.upstreams.recordFailure(s, false)
 		}
 		return false, err
 	}
-	n.fleet.succeeded(s)
+	n.upstreams.recordSuccess(s)
 	return true, nil
 }
 
 var (
-	errRefused      = errors.New("server refused")
-	errServerFailed = errors.New("server answered with a failure")
+	errServerRefused = errors.New("server refused the request")
+	errServerFailed  = errors.New("server responded with a 5xx status")
 )
 
-// plain relays an answer that is no stream. A failure of the server is kept
-// back while another server may still do better.
-func (f *flight) plain(answer *http.Response, s *upstream) (done bool, err error) {
-	if f.reply.headSent {
-		return false, errWrongAnswer // a stream cannot go on with an answer of another form
+// relayResponse relays a response that is not an event stream. A 5xx response
+// is held back as long as the request may be sent to another server.
+func (f *forwarder) relayResponse(resp *http.Response, s *upstream) (done bool, err error) {
+	if f.response.headerSent {
+		return false, errResponseMismatch // a resumed stream must continue as a stream
 	}
-	if answer.StatusCode >= http.StatusInternalServerError && f.mayTryAgain() {
-		raw, err := io.ReadAll(io.LimitReader(answer.Body, bufferedMost))
+	if resp.StatusCode >= http.StatusInternalServerError && f.mayResend() {
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 		if err != nil {
 			return false, err
 		}
-		f.n.fleet.failed(s, false)
-		f.last, f.lastRaw = answer, raw
+		f.node.upstreams.recordFailure(s, false)
+		f.lastFailure, f.lastFailureBody = resp, body
 		return false, nil
 	}
-	err = f.reply.whole(answer, f.n.stopping())
+	err = f.response.relayWhole(resp, f.node.stopping())
 	return err == nil, err
 }
 
-// passing notes that events of a server, asked when began was, are passed on.
-func (f *flight) passing(s *upstream, began time.Time) {
-	n, a, now := f.n, f.a, time.Now()
-	if f.begun {
-		n.metrics.EventInterval(now.Sub(f.passed))
+// onEvents updates metrics, usage and load estimates when events are relayed
+// from a server to which the request was sent at sentAt.
+func (f *forwarder) onEvents(s *upstream, sentAt time.Time) {
+	n, req, now := f.node, f.req, time.Now()
+	if f.gotFirstEvent {
+		n.metrics.EventInterval(now.Sub(f.lastEventAt))
 	} else {
-		f.begun = true
-		if a.ahead < a.unshared()/aheadPart {
-			n.scaler.meter(a.service).RecordPrefill(a.unshared(), now.Sub(began))
+		f.gotFirstEvent = true
+		if req.queuedTokens < req.ownTokens()/backlogDivisor {
+			n.scaler.meter(req.service).RecordPrefill(req.ownTokens(), now.Sub(sentAt))
 		}
-		n.beliefs.read(s.id, a.parts)
-		n.metrics.FirstEvent(a.route.Name, now.Sub(a.arrived))
+		n.cacheTracker.record(s.id, req.promptParts)
+		n.metrics.FirstEvent(req.route.Name, now.Sub(req.arrived))
 	}
-	f.passed = now
-	f.promptRead(s)
-	f.ran()
+	f.lastEventAt = now
+	f.prefillDone(s)
+	f.countUsage()
 }
 
-// promptRead takes the prompt off what the server has still to read, once.
-func (f *flight) promptRead(s *upstream) {
-	if f.unread != 0 {
-		f.n.fleet.read(s, f.unread)
-		f.unread = 0
+// prefillDone removes the prompt from the server's prefill backlog, once.
+func (f *forwarder) prefillDone(s *upstream) {
+	if f.pendingPrefill != 0 {
+		f.node.upstreams.prefillDone(s, f.pendingPrefill)
+		f.pendingPrefill = 0
 	}
 }
 
-// ran counts the attempt as run for its customer, once.
-func (f *flight) ran() {
-	if !f.counted && f.a.customer != nil {
-		f.counted = true
-		f.n.usage.count(f.a.customer.Name)
+// countUsage adds the request to its customer's usage, once.
+func (f *forwarder) countUsage() {
+	if !f.usageCounted && f.req.customer != nil {
+		f.usageCounted = true
+		f.node.usage.add(f.req.customer.Name)
 	}
 }
 
-// end gives the attempt up: what is left to say depends on what has gone out
-// and on what may have run.
-func (f *flight) end(ctx context.Context, code string, wait time.Duration) *refusal {
-	a := f.a
-	if f.runs == 0 && a.customer != nil {
-		f.n.quota.Refund(a.customer.Name, a.cost())
+// finish ends a request that no server completed. It aborts the connection if
+// the client has gone or part of a response was sent, relays a held-back 5xx
+// response, or returns a refusal.
+func (f *forwarder) finish(ctx context.Context, code string, retryAfter time.Duration) *refusal {
+	req := f.req
+	if f.runs == 0 && req.customer != nil {
+		f.node.quota.Refund(req.customer.Name, req.quotaCost())
 	}
-	if a.request.Context().Err() != nil || f.reply.headSent {
+	if req.request.Context().Err() != nil || f.response.headerSent {
 		f.log("broken_off", "", ctx.Err())
-		// The client sees that the answer did not end.
+		// Abort the connection so that the client sees a truncated response.
 		panic(http.ErrAbortHandler)
 	}
-	if f.last != nil {
-		f.last.Body = io.NopCloser(newReader(f.lastRaw))
-		if f.reply.whole(f.last, f.n.stopping()) == nil {
+	if f.lastFailure != nil {
+		f.lastFailure.Body = io.NopCloser(bodyReader(f.lastFailureBody))
+		if f.response.relayWhole(f.lastFailure, f.node.stopping()) == nil {
 			return nil
 		}
 		panic(http.ErrAbortHandler)
@@ -241,15 +243,15 @@
 	case ctx.Err() != nil:
 		return &refusal{status: http.StatusGatewayTimeout, code: codeTimeout}
 	case f.runs > 0:
-		return &refusal{status: unknownStatus, code: codeUnknown}
+		return &refusal{status: outcomeUnknownStatus, code: codeOutcomeUnknown}
 	}
-	return &refusal{status: http.StatusServiceUnavailable, code: code, wait: request.Jitter(wait), inputs: f.inputs}
+	return &refusal{status: http.StatusServiceUnavailable, code: code, retryAfter: request.Jitter(retryAfter), logValues: f.budgetLogValues}
 }
 
-func (f *flight) log(what, server string, err error) {
+func (f *forwarder) log(what, server string, err error) {
 	if err == nil && f.sends == 1 && !klog.V(1).Enabled() {
 		return
 	}
-	klog.InfoS("request", "id", f.a.id, "what", what, "server", server, "route", f.a.route.Name, "kind", f.a.route.Kind,
-		"sends", f.sends, "runs", f.runs, "events", f.reply.events, "after_ms", time.Since(f.a.arrived).Milliseconds(), "err", err)
+	klog.InfoS("request", "id", f.req.id, "what", what, "server", server, "route", f.req.route.Name, "kind", f.req.route.Kind,
+		"sends", f.sends, "runs", f.runs, "events", f.response.events, "after_ms", time.Since(f.req.arrived).Milliseconds(), "err", err)
 }
--- a/src/gateway/register.go
+++ b/src/gateway/register.go
@@ -14,97 +14,98 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Times of a node's entry in the store.
+// Timing of the node's entry in the store.
 const (
-	entryLease  = 10 * time.Second // after its last renewal an entry goes
-	entryRenew  = 3 * time.Second
-	entryRetry  = time.Second
-	revokeLimit = 300 * time.Millisecond // of the call that removes the entry at the end
+	entryTTL      = 10 * time.Second // the entry expires this long after its last renewal
+	renewInterval = 3 * time.Second
+	retryInterval = time.Second
+	revokeTimeout = 300 * time.Millisecond
 )
 
-// nodeEntry is what a node stores of itself, for others to find it.
+// nodeEntry is stored by each node so that other nodes can find it.
 type nodeEntry struct {
 	Peers         string `json:"peers"`
 	FailureDomain string `json:"failure_domain"`
-	Lease         int64  `json:"lease"` // under which it is stored; marks the writer's own entry
+	Lease         int64  `json:"lease"` // lease that the entry is bound to; identifies its writer
 }
 
 // registration keeps a node's entry in the store under a lease.
 type registration struct {
-	store duty.Store
-	key   string
-	entry nodeEntry
-	held  bool // the entry is known to stand under entry.Lease
+	store   duty.Store
+	key     string
+	entry   nodeEntry
+	written bool // the entry is known to be stored under entry.Lease
 }
 
-// step takes the registration forward and returns when to look again.
-func (r *registration) step(ctx context.Context) time.Duration {
+// reconcile grants or renews the lease, writes the entry if needed, and returns
+// the delay until the next call.
+func (r *registration) reconcile(ctx context.Context) time.Duration {
 	var err error
 	switch {
 	case r.entry.Lease == 0:
-		r.entry.Lease, err = r.store.Grant(ctx, entryLease)
+		r.entry.Lease, err = r.store.Grant(ctx, entryTTL)
 		if err == nil {
 			err = r.write(ctx)
 		}
-	case !r.held:
+	case !r.written:
 		err = r.write(ctx)
 	default:
 		err = r.store.KeepAlive(ctx, r.entry.Lease)
 	}
 	if errors.Is(err, ports.ErrLeaseGone) {
 		klog.InfoS("entry_lapsed", "key", r.key, "lease", r.entry.Lease)
-		r.entry.Lease, r.held = 0, false
+		r.entry.Lease, r.written = 0, false
 		return 0
 	}
-	if !r.held {
-		return entryRetry
+	if !r.written {
+		return retryInterval
 	}
-	return entryRenew
+	return renewInterval
 }
 
-// write stores the entry, whatever stands there: an earlier life of the node
-// wrote it. After a lost answer the next look tells whether it was written.
+// write stores the entry, replacing that of an earlier run of the node. If the
+// response is lost, the next call finds out whether the entry was written.
 func (r *registration) write(ctx context.Context) error {
 	raw, err := json.Marshal(r.entry)
 	if err != nil {
 		return err
 	}
-	have, _, _, err := r.store.Get(ctx, r.key)
+	current, _, _, err := r.store.Get(ctx, r.key)
 	if err != nil {
 		return err
 	}
-	if string(have.Value) == string(raw) {
-		r.held = true
+	if string(current.Value) == string(raw) {
+		r.written = true
 		return nil
 	}
-	swap, err := r.store.PutIf(ctx, r.key, raw, have.Revision, r.entry.Lease)
-	r.held = err == nil && swap.Succeeded
+	result, err := r.store.PutIf(ctx, r.key, raw, current.Revision, r.entry.Lease)
+	r.written = err == nil && result.Succeeded
 	return err
 }
 
-// registerLoop keeps this node's entry in the store until ctx ends.
+// registerLoop keeps this node's entry in the store until ctx is canceled.
 func (n *Node) registerLoop(ctx context.Context) {
 	for {
-		if wait := n.entry.step(ctx); !pause(ctx, wait) {
+		if wait := n.registration.reconcile(ctx); !sleep(ctx, wait) {
 			return
 		}
 	}
 }
 
-// unregister removes the entry, so that the others learn at once that this
-// node uses its share of limits no more.
+// unregister removes the entry, so that other nodes can take over this node's
+// share of the limits without waiting for the lease to expire.
 func (n *Node) unregister() {
-	if n.entry.entry.Lease == 0 {
+	if n.registration.entry.Lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), revokeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	if err := n.store.Revoke(ctx, n.entry.entry.Lease); err != nil {
+	if err := n.store.Revoke(ctx, n.registration.entry.Lease); err != nil {
 		klog.InfoS("entry_left_to_lapse", "err", err)
 	}
 }
 
-// applyEntries takes in the nodes that are stored.
+// applyEntries updates the roster from the node entries in the store.
 func (n *Node) applyEntries() {
 	var out []cluster.Entry
 	for _, it := range n.view.List(nodePrefix) {
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -9,91 +9,90 @@
 	"strings"
 )
 
-// Bounds of answers.
 const (
-	bufferedMost = 1 << 20 // of an answer that is held until it is whole
-	readBytes    = 16 << 10
-	eventMost    = 1 << 20 // of one event of a stream
+	maxBufferedBytes = 1 << 20 // of a response that is read completely before it is relayed
+	streamBufferSize = 16 << 10
+	maxEventBytes    = 1 << 20
 )
 
 var (
-	errBroken    = errors.New("answer ended before its end")
-	errEventSize = errors.New("event is too large")
+	errTruncated     = errors.New("response truncated")
+	errEventTooLarge = fmt.Errorf("stream event exceeds %d bytes", maxEventBytes)
 )
 
-// reply is the answer to the client as far as it has gone out.
-type reply struct {
-	writer    http.ResponseWriter
-	headSent  bool
-	events    int
-	lastEvent string
-	status    int
+// clientResponse is the response to the client and what has been sent of it.
+type clientResponse struct {
+	writer      http.ResponseWriter
+	headerSent  bool
+	events      int
+	lastEventID string
+	status      int
 }
 
-func isEventStream(answer *http.Response) bool {
-	return answer.StatusCode == http.StatusOK && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
+func isEventStream(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// head passes the answer's status and headers on, once.
-func (p *reply) head(answer *http.Response, length bool, closing bool) {
-	if p.headSent {
+// writeHeader relays the status and headers of the response, once.
+func (r *clientResponse) writeHeader(resp *http.Response, keepLength bool, closeConn bool) {
+	if r.headerSent {
 		return
 	}
-	p.headSent, p.status = true, answer.StatusCode
-	header := p.writer.Header()
-	from := answer.Header.Clone()
-	dropConnectionHeaders(from)
-	for name, values := range from {
+	r.headerSent, r.status = true, resp.StatusCode
+	header := r.writer.Header()
+	upstreamHeader := resp.Header.Clone()
+	removeHopByHopHeaders(upstreamHeader)
+	for name, values := range upstreamHeader {
 		header[name] = values
 	}
 	if _, ok := header["Date"]; !ok {
 		header["Date"] = nil
 	}
-	if !length {
+	if !keepLength {
 		header.Del("Content-Length")
 	}
-	if closing {
+	if closeConn {
 		header.Set("Connection", "close")
 	}
-	p.writer.WriteHeader(answer.StatusCode)
+	r.writer.WriteHeader(resp.StatusCode)
 }
 
-// whole reads an answer to its end and passes it on; nothing has gone out
-// when it fails, unless the answer is too large to be held.
-func (p *reply) whole(answer *http.Response, closing bool) error {
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, bufferedMost))
+// relayWhole reads the response completely before relaying it, so that nothing
+// is sent if reading fails. Beyond maxBufferedBytes it streams the rest.
+func (r *clientResponse) relayWhole(resp *http.Response, closeConn bool) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", errBroken, err)
+		return fmt.Errorf("%w: %w", errTruncated, err)
 	}
-	if answer.ContentLength >= 0 && int64(len(raw)) < min(answer.ContentLength, bufferedMost) && answer.Request.Method != http.MethodHead {
-		return errBroken
+	if resp.ContentLength >= 0 && int64(len(body)) < min(resp.ContentLength, maxBufferedBytes) && resp.Request.Method != http.MethodHead {
+		return errTruncated
 	}
-	p.head(answer, true, closing)
-	if _, err := p.writer.Write(raw); err != nil {
+	r.writeHeader(resp, true, closeConn)
+	if _, err := r.writer.Write(body); err != nil {
 		return err
 	}
-	if len(raw) < bufferedMost {
+	if len(body) < maxBufferedBytes {
 		return nil
 	}
-	_, err = io.Copy(p.writer, answer.Body)
+	_, err = io.Copy(r.writer, resp.Body)
 	return err
 }
 
-// stream passes events on as they come, each as a whole. passing is called
-// whenever some are passed on.
-func (p *reply) stream(answer *http.Response, closing bool, passing func()) error {
-	flusher := http.NewResponseController(p.writer)
+// relayStream relays complete events as they arrive, and calls onEvents before
+// each write.
+func (r *clientResponse) relayStream(resp *http.Response, closeConn bool, onEvents func()) error {
+	flusher := http.NewResponseController(r.writer)
 	var pending []byte
-	buffer := make([]byte, readBytes)
+	buffer := make([]byte, streamBufferSize)
 	for {
-		count, err := answer.Body.Read(buffer)
+		count, err := resp.Body.Read(buffer)
 		pending = append(pending, buffer[:count]...)
-		if end := bytes.LastIndex(pending, eventEnd); end >= 0 {
-			end += len(eventEnd)
-			passing()
-			p.head(answer, false, closing)
-			p.note(pending[:end])
-			if _, werr := p.writer.Write(pending[:end]); werr != nil {
+		if end := bytes.LastIndex(pending, eventSeparator); end >= 0 {
+			end += len(eventSeparator)
+			onEvents()
+			r.writeHeader(resp, false, closeConn)
+			r.recordEvents(pending[:end])
+			if _, werr := r.writer.Write(pending[:end]); werr != nil {
 				return werr
 			}
 			if ferr := flusher.Flush(); ferr != nil {
@@ -102,35 +101,35 @@
 			pending = append(pending[:0], pending[end:]...)
 		}
 		switch {
-		case len(pending) > eventMost:
-			return errEventSize
+		case len(pending) > maxEventBytes:
+			return errEventTooLarge
 		case errors.Is(err, io.EOF):
-			return p.finish(answer, pending, closing)
+			return r.finishStream(resp, pending, closeConn)
 		case err != nil:
-			return fmt.Errorf("%w: %w", errBroken, err)
+			return fmt.Errorf("%w: %w", errTruncated, err)
 		}
 	}
 }
 
-var eventEnd = []byte("\n\n")
+var eventSeparator = []byte("\n\n")
 
-// finish ends a stream whose connection or body ended in order.
-func (p *reply) finish(answer *http.Response, pending []byte, closing bool) error {
+// finishStream ends a stream at EOF; leftover bytes mean that it was truncated.
+func (r *clientResponse) finishStream(resp *http.Response, pending []byte, closeConn bool) error {
 	if len(bytes.TrimSpace(pending)) > 0 {
-		return errBroken
+		return errTruncated
 	}
-	p.head(answer, false, closing)
+	r.writeHeader(resp, false, closeConn)
 	return nil
 }
 
-// note keeps the id of the last event in a series of whole events.
-func (p *reply) note(events []byte) {
+// recordEvents counts the given complete events and remembers the last event ID.
+func (r *clientResponse) recordEvents(events []byte) {
 	for _, line := range bytes.Split(events, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			p.lastEvent = string(bytes.TrimSpace(id))
+			r.lastEventID = string(bytes.TrimSpace(id))
 		}
 		if bytes.HasPrefix(line, []byte("data:")) {
-			p.events++
+			r.events++
 		}
 	}
 }
--- a/src/gateway/scale.go
+++ b/src/gateway/scale.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	spotComingBeyond = 3 * time.Second         // beyond the boot time, at the first start
-	listWait         = 3000 * time.Millisecond // in which all servers enter the list after the node's start
+	spotStartupMargin = 3 * time.Second         // added to the boot time on the first start
+	listingDelay      = 3000 * time.Millisecond // time for all servers to be listed after the node has started
 )
 
-// scaler decides, at the holder of the duties, how many servers to order.
+// scaler holds the demand data from which the lease holder sizes services.
 type scaler struct {
-	mu     sync.Mutex
-	meters map[string]*capacity.DemandMeter // of this node, by service
-	peaks  map[string]*capacity.RollingMax
-	asked  map[string]bool // whether there was demand at the last look
-	listed map[string]int  // most servers seen of a service before there was any demand
+	mu             sync.Mutex
+	meters         map[string]*capacity.DemandMeter // of this node, by service
+	peaks          map[string]*capacity.RollingMax
+	hadDemand      map[string]bool // whether the last step saw demand
+	initialServers map[string]int  // highest number of servers of a service before the first demand
 }
 
 func newScaler() *scaler {
-	return &scaler{meters: map[string]*capacity.DemandMeter{}, peaks: map[string]*capacity.RollingMax{}, listed: map[string]int{}, asked: map[string]bool{}}
+	return &scaler{meters: map[string]*capacity.DemandMeter{}, peaks: map[string]*capacity.RollingMax{}, initialServers: map[string]int{}, hadDemand: map[string]bool{}}
 }
 
-// meter is this node's meter of a service.
+// meter returns this node's demand meter of a service.
 func (s *scaler) meter(service string) *capacity.DemandMeter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	return m
 }
 
-// demands is what this node tells the others of its services.
+// demands returns this node's demand by service, to be sent to other nodes.
 func (s *scaler) demands(now time.Time) []*cluster.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,10 +55,10 @@
 	return out
 }
 
-// scaleStep orders servers for every service that can be scaled.
+// scaleStep orders servers for every service that has scaling configured.
 func (n *Node) scaleStep(ctx context.Context) {
 	table := n.table.Load()
-	if table == nil || time.Since(n.began) < listWait {
+	if table == nil || time.Since(n.startedAt) < listingDelay {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Config.Services)) {
@@ -66,40 +66,40 @@
 		if service.Scaling == nil {
 			continue
 		}
-		servers := n.fleet.list(name)
+		servers := n.upstreams.servers(name)
 		if len(servers) == 0 {
 			continue
 		}
 		supply := capacity.SupplyOf(servers)
-		orders := capacity.Plan(name, *service.Scaling, n.need(service, servers), supply)
-		n.buyer.Reconcile(ctx, *service.Scaling, orders, supply)
+		orders := capacity.Plan(name, *service.Scaling, n.requiredServers(service, servers), supply)
+		n.provisioner.Reconcile(ctx, *service.Scaling, orders, supply)
 	}
 }
 
-// need is how many servers of a service the nodes' demand asks for. Before
-// there is any, it is what was there at first.
-func (n *Node) need(service traffic.Service, servers []traffic.Upstream) capacity.Need {
+// requiredServers returns how many servers the demand at all nodes requires.
+// Before there is demand, it returns the initial number of servers.
+func (n *Node) requiredServers(service traffic.Service, servers []traffic.Upstream) capacity.Need {
 	now := time.Now()
-	var tokens, reading, running, measured float64
+	var tokenRate, prefillRate, running, samples float64
 	for _, m := range n.members.All() {
 		if now.Sub(m.Heard) > cluster.LoadMaxAge {
 			continue
 		}
 		for _, d := range m.Record.Demands {
 			if d.Service == service.Name {
-				tokens += float64(d.Tokens)
+				tokenRate += float64(d.Tokens)
 				if d.Reading > 0 {
-					reading += float64(d.Reading)
-					measured++
+					prefillRate += float64(d.Reading)
+					samples++
 				}
 			}
 		}
 	}
-	if measured > 0 {
-		reading /= measured
+	if samples > 0 {
+		prefillRate /= samples
 	}
 	for _, s := range servers {
-		running += n.fleet.running(s.ID)
+		running += n.upstreams.runningRequests(s.ID)
 	}
 	slots := 0
 	if service.Engine != nil {
@@ -112,14 +112,14 @@
 		peak = &capacity.RollingMax{}
 		n.scaler.peaks[service.Name] = peak
 	}
-	klog.V(1).InfoS("demand", "service", service.Name, "tokens", tokens, "reading", reading, "running", running)
-	wanted := capacity.RequiredServers(tokens, running, slots, reading)
-	if wanted == 0 || !n.scaler.asked[service.Name] {
-		// What is there stays for a while: the demand shows only with time.
-		n.scaler.listed[service.Name] = max(n.scaler.listed[service.Name], capacity.InferredNeed(servers, n.set.FirstStart))
-		peak.Add(n.scaler.listed[service.Name], now)
+	klog.V(1).InfoS("demand", "service", service.Name, "tokens", tokenRate, "reading", prefillRate, "running", running)
+	required := capacity.RequiredServers(tokenRate, running, slots, prefillRate)
+	if required == 0 || !n.scaler.hadDemand[service.Name] {
+		// Keep the existing servers for a while, because demand takes time to measure.
+		n.scaler.initialServers[service.Name] = max(n.scaler.initialServers[service.Name], capacity.InferredNeed(servers, n.initial.FirstStart))
+		peak.Add(n.scaler.initialServers[service.Name], now)
 	}
-	n.scaler.asked[service.Name] = wanted > 0
-	early := now.Sub(n.began) < service.Scaling.Boot+listWait+spotComingBeyond
-	return capacity.Need{Servers: peak.Add(wanted, now), SpotPending: wanted == 0 && n.set.FirstStart && early}
+	n.scaler.hadDemand[service.Name] = required > 0
+	spotMayArrive := now.Sub(n.startedAt) < service.Scaling.Boot+listingDelay+spotStartupMargin
+	return capacity.Need{Servers: peak.Add(required, now), SpotPending: required == 0 && n.initial.FirstStart && spotMayArrive}
 }
--- a/src/gateway/send.go
+++ b/src/gateway/send.go
@@ -14,104 +14,105 @@
 	"time"
 )
 
-// fate is what became of one send.
-type fate int
+// outcome is the result of one send.
+type outcome int
 
-// The fates. Only the first two leave a request that was certainly not run.
+// Only the first two guarantee that the request was not executed.
 const (
-	notSent  fate = iota // no byte reached the server
-	refused              // the server says that it did not run the request
-	answered             // a whole head of the right answer came
-	unknown              // sent, and no answer that says what became of it
+	outcomeNotSent  outcome = iota // no connection was obtained
+	outcomeRefused                 // the server reported that it did not execute the request
+	outcomeAnswered                // a matching response header was received
+	outcomeUnknown                 // the request was sent, but no usable response came back
 )
 
-// String names the fate for logs.
-func (f fate) String() string { return [...]string{"not_sent", "refused", "answered", "unknown"}[f] }
+// String returns the metric label.
+func (o outcome) String() string { return [...]string{"not_sent", "refused", "answered", "unknown"}[o] }
 
-// sent is the result of one send. The answer's body must be closed.
-type sent struct {
-	fate   fate
-	answer *http.Response
-	err    error
-	cancel context.CancelFunc
+// sendResult is the result of one send. The caller must close the response body
+// if the request was answered, and call cancel.
+type sendResult struct {
+	outcome  outcome
+	response *http.Response
+	err      error
+	cancel   context.CancelFunc
 }
 
 var (
-	errWrongAnswer = errors.New("answer belongs to another request")
-	errNoID        = errors.New("answer names no request")
+	errResponseMismatch = errors.New("response does not match the request")
+	errNoRequestID      = errors.New("response has no request ID")
 )
 
-// connectionHeaders belong to one connection and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders are not forwarded (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-func dropConnectionHeaders(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// send sends the request to one server and reads the answer's head.
-func (n *Node) send(ctx context.Context, a *ask, s *upstream, lastEvent string) sent {
-	ctx, end := context.WithCancel(ctx)
-	detach := context.AfterFunc(s.life, end)
+// send sends the request to one server and reads the response header.
+func (n *Node) send(ctx context.Context, req *clientRequest, s *upstream, lastEventID string) sendResult {
+	ctx, cancelCtx := context.WithCancel(ctx)
+	stopWatching := context.AfterFunc(s.ctx, cancelCtx)
 	cancel := func() {
-		detach()
-		end()
+		stopWatching()
+		cancelCtx()
 	}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
-	request := n.outgoing(ctx, a, s, lastEvent)
-	answer, err := n.fleet.transport(s).RoundTrip(request)
+	out := n.upstreamRequest(ctx, req, s, lastEventID)
+	resp, err := n.upstreams.transport(s).RoundTrip(out)
 	if err != nil {
 		cancel()
 		if !connected.Load() {
-			return sent{fate: notSent, err: err, cancel: cancel}
+			return sendResult{outcome: outcomeNotSent, err: err, cancel: cancel}
 		}
-		return sent{fate: unknown, err: err, cancel: cancel}
+		return sendResult{outcome: outcomeUnknown, err: err, cancel: cancel}
 	}
-	n.fleet.keeps(s, answer.Header)
-	id := answer.Header.Get(n.headers.RequestID)
-	declined := answer.Header.Get(n.headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest
+	n.upstreams.recordKeepAlive(s, resp.Header)
+	id := resp.Header.Get(n.headers.RequestID)
+	declined := resp.Header.Get(n.headers.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 	switch {
-	case id != "" && id != a.id:
-		err = errWrongAnswer
+	case id != "" && id != req.id:
+		err = errResponseMismatch
 	case declined:
-		// Read, so that the connection can be used again.
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, declinedMost))
-		_ = answer.Body.Close()
+		// Drain the body so that the connection can be reused.
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainBytes))
+		_ = resp.Body.Close()
 		cancel()
-		return sent{fate: refused, answer: answer, cancel: cancel}
+		return sendResult{outcome: outcomeRefused, response: resp, cancel: cancel}
 	case id == "":
-		err = errNoID
+		err = errNoRequestID
 	default:
-		return sent{fate: answered, answer: answer, cancel: cancel}
+		return sendResult{outcome: outcomeAnswered, response: resp, cancel: cancel}
 	}
 	cancel()
-	_ = answer.Body.Close()
-	return sent{fate: unknown, err: err, cancel: cancel}
+	_ = resp.Body.Close()
+	return sendResult{outcome: outcomeUnknown, err: err, cancel: cancel}
 }
 
-const declinedMost = 4 << 10
+const maxDrainBytes = 4 << 10
 
-// outgoing makes the request for a server. The library must never send it
-// again by itself once a byte has gone out: a body that it cannot rewind, and
-// no header that marks it as idempotent, see to that.
-func (n *Node) outgoing(ctx context.Context, a *ask, s *upstream, lastEvent string) *http.Request {
-	in := a.request
+// upstreamRequest builds the request to a server. net/http must not retry it on
+// its own once it was written: the body cannot be rewound, and the headers that
+// mark a request as idempotent are sent under a non-canonical name.
+func (n *Node) upstreamRequest(ctx context.Context, req *clientRequest, s *upstream, lastEventID string) *http.Request {
+	in := req.request
 	target := *in.URL
 	target.Scheme, target.Host = "http", s.address
 	out := (&http.Request{
 		Method: in.Method, URL: &target, Host: in.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: in.Header.Clone(),
 	}).WithContext(ctx)
-	dropConnectionHeaders(out.Header)
+	removeHopByHopHeaders(out.Header)
 	for _, name := range []string{"Authorization", "Expect", "Content-Length", n.headers.Customer, n.headers.ContinueFrom, n.headers.FetchFrom} {
 		if name == "Authorization" && !n.table.Load().RequiresKey() {
 			continue
@@ -125,26 +126,26 @@
 		}
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		out.Header["User-Agent"] = nil // the library would add its own
+		out.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	if a.customer != nil {
-		out.Header.Set(n.headers.Customer, a.customer.Name)
+	if req.customer != nil {
+		out.Header.Set(n.headers.Customer, req.customer.Name)
 	}
 	out.Header.Set(n.headers.ExpectInstance, s.id)
-	left := max(time.Until(a.deadline), time.Millisecond)
-	out.Header.Set(n.headers.DeadlineMs, strconv.FormatInt(left.Milliseconds(), 10))
-	if lastEvent != "" {
-		out.Header.Set(n.headers.LastEventID, lastEvent)
+	remaining := max(time.Until(req.deadline), time.Millisecond)
+	out.Header.Set(n.headers.DeadlineMs, strconv.FormatInt(remaining.Milliseconds(), 10))
+	if lastEventID != "" {
+		out.Header.Set(n.headers.LastEventID, lastEventID)
 	}
-	out.Body = &onceReader{Reader: bytes.NewReader(a.body)}
-	out.ContentLength = int64(len(a.body))
-	if len(a.body) == 0 && (in.Method == http.MethodPost || in.Method == http.MethodPut || in.Method == http.MethodPatch) {
-		out.Body = http.NoBody // these are not sent again, and say their length of 0
+	out.Body = &onceReader{Reader: bytes.NewReader(req.body)}
+	out.ContentLength = int64(len(req.body))
+	if len(req.body) == 0 && (in.Method == http.MethodPost || in.Method == http.MethodPut || in.Method == http.MethodPatch) {
+		out.Body = http.NoBody // net/http does not retry these methods, and sends Content-Length: 0
 	}
 	return out
 }
 
-// onceReader hides that its bytes could be read again.
+// onceReader hides the type of its reader, so that net/http cannot rewind it.
 type onceReader struct{ io.Reader }
 
 // Close does nothing.
--- a/src/gateway/settings.go
+++ b/src/gateway/settings.go
@@ -1,6 +1,6 @@
-// Package gateway is the data path before servers that operators configure by
-// routes: it takes requests in, checks key and limits, chooses a server, sends,
-// relays the answer, and tries again or goes on elsewhere where that is allowed.
+// Package gateway implements the data path: it accepts client requests, checks
+// keys and limits, chooses a server by route, relays its response, and retries or
+// resumes on another server where the route allows it.
 package gateway
 
 import (
@@ -11,25 +11,25 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Settings is what one gateway process is told at its start.
+// Settings are the startup settings of one gateway process.
 type Settings struct {
-	File          string // from which they were read; looked at for changes
+	File          string // path of the settings file, watched for changes
 	Node          string
 	FailureDomain string
 	Region        string
 	Listen        Listeners
-	Seeds         []string      // peers' addresses that may be stale
-	Grace         time.Duration // from the signal to stop until the process is killed
-	AddressTTL    time.Duration // how long clients may keep a list of addresses
+	Seeds         []string      // peer addresses, which may be stale
+	Grace         time.Duration // from the stop signal until the process is killed
+	AddressTTL    time.Duration // how long clients may cache the address list
 	Retries       RetryLimits
 	Duties        DutyLimits
 	Quota         QuotaLimits
-	FirstStart    bool   // no node of the system has run before
+	FirstStart    bool   // no node of this deployment has run before
 	Store         string // address of the key-value service
-	Cloud         string // address of the cloud; empty where there is none
+	Cloud         string // address of the cloud API; empty if there is none
 }
 
-// Listeners are the addresses to listen on, host:port; optional ones may be empty.
+// Listeners holds the listen addresses (host:port). Optional ones may be empty.
 type Listeners struct {
 	Callers   string
 	Ready     string
@@ -38,21 +38,21 @@
 	Metrics   string
 }
 
-// RetryLimits bound, over all nodes, what is sent more than once.
+// RetryLimits bounds the retries of all nodes together.
 type RetryLimits struct {
-	Ratio  float64 // of the requests in a window
-	Extra  float64 // beyond the ratio
+	Ratio  float64 // retries per request within a window
+	Extra  float64 // retries allowed beyond the ratio
 	Window time.Duration
 }
 
-// QuotaLimits tell how far customers' limits may be exceeded.
+// QuotaLimits bounds how far customers may exceed their limits.
 type QuotaLimits struct {
-	Window  time.Duration // in which the burst may be used once
-	Overage float64       // part of rate and burst that may come on top of them, in a window
-	Slack   float64       // beyond that, in a window
+	Window  time.Duration // the burst may be used once per window
+	Overage float64       // allowed excess per window, as a fraction of rate and burst
+	Slack   float64       // allowed excess beyond that per window
 }
 
-// DutyLimits are the bounds of what one node at a time does.
+// DutyLimits configures the duties that one node at a time performs.
 type DutyLimits struct {
 	Usage       bool
 	Scale       bool
@@ -61,14 +61,14 @@
 	UsageLate   time.Duration
 }
 
-// Store is what the gateway needs of the key-value service.
+// Store is the key-value service as used by the gateway.
 type Store interface {
 	duty.Store
 	view.Watchable
 }
 
-// Platform is what the gateway needs of the platform that it runs on: names,
-// formats and calls.
+// Platform abstracts the platform that the gateway runs on: its names, formats
+// and API calls.
 type Platform interface {
 	duty.UsageSender
 	duty.OrderSender
--- a/src/gateway/state.go
+++ b/src/gateway/state.go
@@ -16,81 +16,82 @@
 
 func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// quietLog drops the HTTP library's own lines, which name no request.
-func quietLog() *log.Logger { return log.New(discard{}, "", 0) }
+// discardLog returns a logger that drops the messages of net/http, which do not
+// name the request.
+func discardLog() *log.Logger { return log.New(discardWriter{}, "", 0) }
 
-type discard struct{}
+type discardWriter struct{}
 
-// Write drops what it is given.
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+// Write discards p.
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// record is what this node tells of itself now.
-func (n *Node) record() *cluster.Record {
+// localRecord returns this node's current record for the exchange with peers.
+func (n *Node) localRecord() *cluster.Record {
 	r := &cluster.Record{
-		Node: n.set.Node, Incarnation: n.incarnation.Load(), Sequence: n.sequence.Add(1), Peers: n.set.Listen.Peers,
-		Callers: n.set.Listen.Callers, FailureDomain: n.set.FailureDomain, Leaving: n.stopping(), Ready: n.table.Load() != nil,
+		Node: n.initial.Node, Incarnation: n.incarnation.Load(), Sequence: n.sequence.Add(1), Peers: n.initial.Listen.Peers,
+		Callers: n.initial.Listen.Callers, FailureDomain: n.initial.FailureDomain, Leaving: n.stopping(), Ready: n.table.Load() != nil,
 	}
 	for name, total := range n.quota.Totals() {
 		r.Admitted = append(r.Admitted, &cluster.Tally{Name: name, Total: total})
 	}
-	for cell, count := range n.usage.recent() {
-		r.Usage = append(r.Usage, &cluster.Usage{Window: cell.window, Customer: cell.customer, Count: count})
+	for key, count := range n.usage.recent() {
+		r.Usage = append(r.Usage, &cluster.Usage{Window: key.window, Customer: key.customer, Count: count})
 	}
-	for id, load := range n.fleet.loads() {
-		r.Loads = append(r.Loads, &cluster.Load{Server: id, Requests: int32(load.requests), UnreadTokens: load.unread})
+	for id, load := range n.upstreams.localLoads() {
+		r.Loads = append(r.Loads, &cluster.Load{Server: id, Requests: int32(load.requests), UnreadTokens: load.pendingPrefill})
 	}
 	r.Demands = n.scaler.demands(time.Now())
 	return r
 }
 
-// Times for which what a node told counts.
 const (
-	fedFor    = 1500 * time.Millisecond
-	leadAfter = 5 * time.Second // a process of a large system that is no hub tries for the duties after
+	hubUpdateMaxAge  = 1500 * time.Millisecond
+	nonHubLeaseDelay = 5 * time.Second // uptime after which a node that is not a hub may acquire the duty lease
 )
 
-// spread takes in what the other nodes told, or what a hub told of them all.
-func (n *Node) spread() {
+// applyPeerState updates limits and loads from the records of the other nodes,
+// or from the summary of a hub.
+func (n *Node) applyPeerState() {
 	for _, m := range n.members.All() {
 		n.roster.Heard(m.Record.Node, m.Heard)
 	}
 	if summary, hub, at, ok := n.members.Summary(); ok && !n.peers.IsHub() {
-		n.spreadSummary(summary, hub, at)
+		n.applySummary(summary, hub, at)
 		return
 	}
 	n.quota.SetPeers(n.roster.Others())
 	for _, m := range n.members.All() {
 		r := m.Record
-		if r.Node != n.set.Node {
-			n.quota.MergeTotals(r.Node, r.Incarnation, totalsOf(r.Admitted), m.Heard)
+		if r.Node != n.initial.Node {
+			n.quota.MergeTotals(r.Node, r.Incarnation, admittedTotals(r.Admitted), m.Heard)
 		}
 	}
-	elsewhere := map[string]remoteLoad{}
+	remote := map[string]serverLoad{}
 	for _, r := range n.members.Others(cluster.LoadMaxAge) {
 		for _, load := range r.Loads {
-			sum := elsewhere[load.Server]
+			sum := remote[load.Server]
 			sum.requests += int(load.Requests)
-			sum.unread += load.UnreadTokens
-			elsewhere[load.Server] = sum
+			sum.pendingPrefill += load.UnreadTokens
+			remote[load.Server] = sum
 		}
 	}
-	n.fleet.setElsewhere(elsewhere, remoteLoad{})
+	n.upstreams.setRemoteLoads(remote, serverLoad{})
 }
 
-func (n *Node) spreadSummary(s *cluster.Summary, hub string, at time.Time) {
+func (n *Node) applySummary(s *cluster.Summary, hub string, at time.Time) {
 	n.quota.SetAggregate(hub, max(int(s.Nodes), n.roster.Count())-1)
-	n.quota.MergeTotals(hub, sumIncarnation, totalsOf(s.Admitted), at)
-	elsewhere := make(map[string]remoteLoad, len(s.Heavy))
+	n.quota.MergeTotals(hub, summaryIncarnation, admittedTotals(s.Admitted), at)
+	remote := make(map[string]serverLoad, len(s.Heavy))
 	for _, load := range s.Heavy {
-		elsewhere[load.Server] = remoteLoad{int(load.Requests), load.UnreadTokens}
+		remote[load.Server] = serverLoad{int(load.Requests), load.UnreadTokens}
 	}
-	n.fleet.setElsewhere(elsewhere, remoteLoad{int(s.MeanRequests), int64(s.MeanUnread)})
+	n.upstreams.setRemoteLoads(remote, serverLoad{int(s.MeanRequests), int64(s.MeanUnread)})
 }
 
-// sumIncarnation stands for the lives of all nodes in a sum over them.
-const sumIncarnation = 1
+// summaryIncarnation is the incarnation used for totals summed over all nodes.
+const summaryIncarnation = 1
 
-func totalsOf(admitted []*cluster.Tally) map[string]float64 {
+func admittedTotals(admitted []*cluster.Tally) map[string]float64 {
 	totals := make(map[string]float64, len(admitted))
 	for _, t := range admitted {
 		totals[t.Name] = t.Total
@@ -98,7 +99,7 @@
 	return totals
 }
 
-// applyLoop puts every change of the view in force.
+// applyLoop applies every change of the view.
 func (n *Node) applyLoop(ctx context.Context) {
 	for {
 		changed := n.view.Changed()
@@ -108,14 +109,14 @@
 			return
 		case <-changed:
 		}
-		// Changes that come close together are applied as one.
-		if !pause(ctx, applyPause) {
+		// Batch changes that arrive in quick succession.
+		if !sleep(ctx, applyDelay) {
 			return
 		}
 	}
 }
 
-const applyPause = 10 * time.Millisecond
+const applyDelay = 10 * time.Millisecond
 
 func (n *Node) apply() {
 	if it, ok := n.view.Get(n.platform.ConfigKey()); ok {
@@ -125,42 +126,41 @@
 	n.applyEntries()
 }
 
-// decodedServer is a server's entry as it was decoded at a revision.
+// decodedServer caches the decoded entry of a server at one revision.
 type decodedServer struct {
 	revision int64
 	server   traffic.Upstream
-	unusable bool // the entry names no server
+	invalid  bool // the entry could not be decoded
 }
 
-// applyServers takes in the list of servers; entries that did not change are
-// not decoded again.
+// applyServers updates the server list. Unchanged entries are not decoded again.
 func (n *Node) applyServers() {
 	items := n.view.List(n.platform.ServerPrefix())
 	list := make([]traffic.Upstream, 0, len(items))
 	decoded := make(map[string]decodedServer, len(items))
 	for _, it := range items {
-		known, ok := n.decoded[it.Key]
-		if !ok || known.revision != it.Revision {
+		entry, ok := n.decodedServers[it.Key]
+		if !ok || entry.revision != it.Revision {
 			s, err := n.platform.DecodeServer(it.Key, it.Value)
 			if err != nil {
 				klog.ErrorS(err, "server_entry_unusable", "key", it.Key, "revision", it.Revision)
 			}
-			known = decodedServer{it.Revision, s, err != nil}
+			entry = decodedServer{it.Revision, s, err != nil}
 		}
-		decoded[it.Key] = known
-		if !known.unusable {
-			list = append(list, known.server)
+		decoded[it.Key] = entry
+		if !entry.invalid {
+			list = append(list, entry.server)
 		}
 	}
-	n.decoded = decoded
-	n.beliefs.forget(n.fleet.set(list))
+	n.decodedServers = decoded
+	n.cacheTracker.removeServers(n.upstreams.update(list))
 }
 
 func (n *Node) applyConfig(raw []byte, revision int64) {
-	if n.configIn == revision {
+	if n.configRevision == revision {
 		return
 	}
-	n.configIn = revision
+	n.configRevision = revision
 	c, err := n.platform.DecodeConfig(raw)
 	if err != nil {
 		klog.ErrorS(err, "configuration_unreadable", "revision", revision)
@@ -174,44 +174,45 @@
 	klog.InfoS("configuration", "version", c.Version, "revision", revision, "routes", len(c.Routes), "source", source)
 }
 
-// backstopLoop asks the store now and then how far it is, in case a watch has
-// gone deaf: what is missing is listed.
-func (n *Node) backstopLoop(ctx context.Context) {
+// storeCheckLoop polls the revision of the store and lists all items if the watch
+// has missed a change.
+func (n *Node) storeCheckLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !pause(ctx, backstopEvery+rand.N(backstopEvery/4)) {
+		if !sleep(ctx, storeCheckInterval+rand.N(storeCheckInterval/4)) {
 			return
 		}
-		if n.fed() {
+		if n.receivesHubUpdates() {
 			continue
 		}
-		it, _, at, err := n.store.Get(ctx, n.platform.ConfigKey())
-		if err != nil || !pause(ctx, backstopGrace) {
+		stored, _, storeRevision, err := n.store.Get(ctx, n.platform.ConfigKey())
+		if err != nil || !sleep(ctx, watchLagLimit) {
 			continue
 		}
 		complete, _ := n.view.Complete()
-		have, _ := n.view.Get(it.Key)
-		if complete >= at && have.Revision >= it.Revision {
+		current, _ := n.view.Get(stored.Key)
+		if complete >= storeRevision && current.Revision >= stored.Revision {
 			continue
 		}
-		klog.InfoS("watch_deaf", "complete", complete, "store", at)
+		klog.InfoS("watch_deaf", "complete", complete, "store", storeRevision)
 		if items, revision, err := n.store.List(ctx, ""); err == nil {
 			n.view.ApplyList(items, revision)
 		}
 	}
 }
 
-// deafLoop cuts a watch that does not show what peers or a read have shown.
-func (n *Node) deafLoop(ctx context.Context) {
+// stalledWatchLoop cancels a watch that does not deliver changes which peers or a
+// read have already seen.
+func (n *Node) stalledWatchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		before, _ := n.view.Complete()
-		if pause(ctx, backstopGrace) && !n.fed() && n.view.CancelStalledWatch(before) {
+		if sleep(ctx, watchLagLimit) && !n.receivesHubUpdates() && n.view.CancelStalledWatch(before) {
 			klog.InfoS("watch_cut", "complete", before)
 		}
 	}
 }
 
-// pause waits; it returns false when ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx is canceled first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -220,45 +221,45 @@
 	}
 }
 
-// seeds are addresses where other nodes may be found.
+// seeds returns peer addresses of other nodes, from the settings and the store.
 func (n *Node) seeds() []string {
 	out := append([]string{}, n.settings().Seeds...)
 	for _, e := range n.roster.Entries() {
-		if e.Node != n.set.Node {
+		if e.Node != n.initial.Node {
 			out = append(out, e.Peers)
 		}
 	}
 	return out
 }
 
-// fed tells whether a hub tells this node of changes of the store, so that it
-// needs no watch of its own.
-func (n *Node) fed() bool {
+// receivesHubUpdates reports whether a hub forwards store changes to this node,
+// so that it needs no watch of its own.
+func (n *Node) receivesHubUpdates() bool {
 	_, _, at, ok := n.members.Summary()
-	return ok && time.Since(at) < fedFor && n.peers.UsesHubs() && !n.peers.IsHub()
+	return ok && time.Since(at) < hubUpdateMaxAge && n.peers.UsesHubs() && !n.peers.IsHub()
 }
 
-// holdsDuty tells whether this node holds the lease of the duties.
-func (n *Node) holdsDuty() bool {
+// holdsLease reports whether this node holds the duty lease.
+func (n *Node) holdsLease() bool {
 	_, held := n.lease.Term()
 	return held
 }
 
-// mayLead tells whether this node tries for the lease of the duties: in a
-// large system the hubs do, and the others only when it stays free.
-func (n *Node) mayLead() bool {
-	return !n.peers.UsesHubs() || n.peers.IsHub() || !n.fed() && time.Since(n.began) > leadAfter
+// mayAcquireLease reports whether this node may try to acquire the duty lease. In
+// a large system the hubs do; other nodes only if they receive no hub updates.
+func (n *Node) mayAcquireLease() bool {
+	return !n.peers.UsesHubs() || n.peers.IsHub() || !n.receivesHubUpdates() && time.Since(n.startedAt) > nonHubLeaseDelay
 }
 
-// dutyLoop keeps the lease and does what its holder does.
+// dutyLoop starts the loops that maintain the duty lease and perform the duties.
 func (n *Node) dutyLoop(ctx context.Context) {
 	go process.Every(ctx, n.lease.Interval(), func() {
-		_, taken := n.view.Get(leaseKey)
-		n.lease.Step(ctx, taken || !n.mayLead())
+		_, taken := n.view.Get(dutyLeaseKey)
+		n.lease.Step(ctx, taken || !n.mayAcquireLease())
 	})
-	go process.Every(ctx, stepEvery, func() { n.usageStep(ctx) })
-	if n.set.Duties.Scale {
-		go process.Every(ctx, stepEvery, func() { n.scaleStep(ctx) })
+	go process.Every(ctx, stepInterval, func() { n.usageStep(ctx) })
+	if n.initial.Duties.Scale {
+		go process.Every(ctx, stepInterval, func() { n.scaleStep(ctx) })
 	}
 }
 
@@ -268,7 +269,7 @@
 			n.ledger.Merge(m.Record.Node, m.Record.Incarnation, u.Window, u.Customer, u.Count)
 		}
 	}
-	if n.set.Duties.Usage {
-		n.report.Step(ctx)
+	if n.initial.Duties.Usage {
+		n.usageReporter.Step(ctx)
 	}
 }
--- /dev/null
+++ b/src/gateway/upstreams.go
@@ -0,0 +1,292 @@
+package gateway
+
+import (
+	"context"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"github.com/crankridge/crankridge/src/conn"
+	"github.com/crankridge/crankridge/src/traffic"
+)
+
+// Limits of connections to servers and of ejection.
+const (
+	dialTimeout        = 400 * time.Millisecond
+	defaultIdleTimeout = 3 * time.Second         // for servers that have not sent a Keep-Alive timeout
+	idleTimeoutMargin  = 1500 * time.Millisecond // close idle connections this long before the server does
+	maxIdlePerServer   = 64
+	minEjection        = 500 * time.Millisecond
+	maxEjection        = 4 * time.Second
+	failuresToEject    = 3
+	failureRateDecay   = 0.8 // weight of the previous rate in the moving average
+)
+
+// upstream is one run of a server process at one address, with this node's
+// load and health data for it. Mutable fields are guarded by the pool's lock.
+type upstream struct {
+	id                  string
+	address             string
+	entry               traffic.Upstream // current entry in the store
+	ctx                 context.Context  // canceled when the server restarts, which loses its requests
+	cancel              context.CancelFunc
+	transport           *http.Transport
+	idleTimeout         time.Duration
+	draining            bool
+	requests            int   // in progress from this node
+	pendingPrefill      int64 // prompt tokens of this node's requests that have no first event yet
+	consecutiveFailures int
+	failureRate         float64
+	ejectedUntil        time.Time
+	ejection            time.Duration
+	remoteLoad          serverLoad // latest reported load of all other nodes
+}
+
+// serverLoad is the load that one or more nodes put on a server.
+type serverLoad struct {
+	requests       int
+	pendingPrefill int64
+}
+
+// upstreamPool holds the servers known to this node.
+type upstreamPool struct {
+	mu           sync.Mutex
+	byID         map[string]*upstream
+	byService    map[string][]*upstream   // sorted by id
+	idleTimeouts map[string]time.Duration // by service, from Keep-Alive headers
+	now          func() time.Time
+}
+
+func newUpstreamPool(now func() time.Time) *upstreamPool {
+	return &upstreamPool{byID: map[string]*upstream{}, idleTimeouts: map[string]time.Duration{}, now: now}
+}
+
+// update replaces the server list. It returns the ids of servers that were
+// removed or have restarted, whose cached state is no longer valid.
+func (p *upstreamPool) update(list []traffic.Upstream) (removed []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	listed := make(map[string]bool, len(list))
+	for _, s := range list {
+		listed[s.ID] = true
+		known := p.byID[s.ID]
+		if known != nil && (known.entry.StartedMS != s.StartedMS || known.address != s.Address) {
+			removed = append(removed, s.ID)
+			known.cancel()
+			known.transport.CloseIdleConnections()
+			klog.InfoS("server_born_again", "server", s.ID, "born", s.StartedMS, "before", known.entry.StartedMS, "requests", known.requests)
+			known = nil
+		}
+		if known == nil {
+			known = p.newUpstream(s)
+			p.byID[s.ID] = known
+		}
+		known.entry = s
+		known.draining = known.draining || s.Draining
+	}
+	for id, s := range p.byID {
+		if !listed[id] {
+			// It may still finish its requests, so its context is not canceled.
+			removed = append(removed, id)
+			delete(p.byID, id)
+			s.transport.CloseIdleConnections()
+		}
+	}
+	p.sortByService()
+	return removed
+}
+
+func (p *upstreamPool) newUpstream(s traffic.Upstream) *upstream {
+	idleTimeout := p.idleTimeouts[s.Service]
+	ctx, cancel := context.WithCancel(context.Background())
+	return &upstream{id: s.ID, address: s.Address, ctx: ctx, cancel: cancel, transport: newTransport(idleTimeout), idleTimeout: idleTimeout}
+}
+
+func (p *upstreamPool) sortByService() {
+	p.byService = map[string][]*upstream{}
+	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
+		s := p.byID[id]
+		p.byService[s.entry.Service] = append(p.byService[s.entry.Service], s)
+	}
+}
+
+// recordKeepAlive applies the idle timeout from a Keep-Alive response header.
+func (p *upstreamPool) recordKeepAlive(s *upstream, header http.Header) {
+	text, ok := strings.CutPrefix(header.Get("Keep-Alive"), "timeout=")
+	seconds, err := strconv.Atoi(text)
+	if !ok || err != nil {
+		return
+	}
+	idleTimeout := max(time.Duration(seconds)*time.Second-idleTimeoutMargin, time.Millisecond)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idleTimeouts[s.entry.Service] = idleTimeout
+	if s.idleTimeout != idleTimeout {
+		// Connections of the old transport expire by its own idle timeout.
+		s.transport, s.idleTimeout = newTransport(idleTimeout), idleTimeout
+	}
+}
+
+// transport returns the current transport of the server.
+func (p *upstreamPool) transport(s *upstream) *http.Transport {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return s.transport
+}
+
+func newTransport(idleTimeout time.Duration) *http.Transport {
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
+	}
+	return &http.Transport{
+		DialContext: conn.Dialer(dialTimeout).DialContext, MaxIdleConnsPerHost: maxIdlePerServer, IdleConnTimeout: idleTimeout,
+		DisableCompression: true, MaxResponseHeaderBytes: 64 << 10,
+	}
+}
+
+func (p *upstreamPool) closeIdleConnections() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.byID {
+		s.transport.CloseIdleConnections()
+	}
+}
+
+// markDraining excludes this run of a server from further requests. It reports
+// whether the state changed.
+func (p *upstreamPool) markDraining(s *upstream) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.byID[s.id] != s || s.draining {
+		return false
+	}
+	s.draining = true
+	return true
+}
+
+// beginRequest adds a request in progress to the load of a server.
+func (p *upstreamPool) beginRequest(s *upstream, prefillTokens int64) {
+	p.mu.Lock()
+	s.requests++
+	s.pendingPrefill += prefillTokens
+	p.mu.Unlock()
+}
+
+// prefillDone removes prompt tokens from the prefill backlog of a server.
+func (p *upstreamPool) prefillDone(s *upstream, prefillTokens int64) {
+	p.mu.Lock()
+	s.pendingPrefill -= prefillTokens
+	p.mu.Unlock()
+}
+
+func (p *upstreamPool) endRequest(s *upstream) {
+	p.mu.Lock()
+	s.requests--
+	p.mu.Unlock()
+}
+
+// recordSuccess resets the ejection state after a complete response.
+func (p *upstreamPool) recordSuccess(s *upstream) {
+	p.mu.Lock()
+	s.consecutiveFailures, s.ejection = 0, 0
+	s.failureRate *= failureRateDecay
+	p.mu.Unlock()
+}
+
+// recordFailure ejects the server for a time after failuresToEject consecutive
+// failures, or immediately if ejectNow is set.
+func (p *upstreamPool) recordFailure(s *upstream, ejectNow bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s.consecutiveFailures++
+	s.failureRate = s.failureRate*failureRateDecay + (1 - failureRateDecay)
+	if s.consecutiveFailures < failuresToEject && !ejectNow {
+		return
+	}
+	s.ejection = min(max(2*s.ejection, minEjection), maxEjection)
+	s.ejectedUntil = p.now().Add(s.ejection)
+}
+
+// localLoads returns this node's load on each server that has any.
+func (p *upstreamPool) localLoads() map[string]serverLoad {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := map[string]serverLoad{}
+	for id, s := range p.byID {
+		if s.requests > 0 || s.pendingPrefill > 0 {
+			out[id] = serverLoad{s.requests, s.pendingPrefill}
+		}
+	}
+	return out
+}
+
+// setRemoteLoads sets the combined load of all other nodes. Servers missing
+// from loads get defaultLoad.
+func (p *upstreamPool) setRemoteLoads(loads map[string]serverLoad, defaultLoad serverLoad) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, s := range p.byID {
+		load, ok := loads[id]
+		if !ok {
+			load = defaultLoad
+		}
+		s.remoteLoad = load
+	}
+}
+
+// candidates returns the servers of a service that may receive a request,
+// sorted by id. Ejected servers are returned only if there are no others.
+func (p *upstreamPool) candidates(service string, excluded map[string]bool) []candidate {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	all := p.byService[service]
+	out := make([]candidate, 0, len(all))
+	var ejected []candidate
+	for _, s := range all {
+		if s.draining || excluded[s.id] {
+			continue
+		}
+		c := candidate{upstream: s, id: s.id, domain: s.entry.FailureDomain, slots: s.entry.Slots, failureRate: s.failureRate,
+			requests: s.requests + s.remoteLoad.requests, pendingPrefill: s.pendingPrefill + s.remoteLoad.pendingPrefill}
+		if now.Before(s.ejectedUntil) {
+			ejected = append(ejected, c)
+			continue
+		}
+		out = append(out, c)
+	}
+	if len(out) == 0 {
+		return ejected
+	}
+	return out
+}
+
+// servers returns all servers of a service, including draining ones.
+func (p *upstreamPool) servers(service string) []traffic.Upstream {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var out []traffic.Upstream
+	for _, s := range p.byService[service] {
+		entry := s.entry
+		entry.Draining = entry.Draining || s.draining
+		out = append(out, entry)
+	}
+	return out
+}
+
+// runningRequests returns the number of requests that all nodes have at a server.
+func (p *upstreamPool) runningRequests(id string) float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.byID[id]
+	if s == nil {
+		return 0
+	}
+	return float64(s.requests + s.remoteLoad.requests)
+}
--- a/src/gateway/usage.go
+++ b/src/gateway/usage.go
@@ -7,45 +7,45 @@
 	"github.com/crankridge/crankridge/src/duty"
 )
 
-// usageCounter counts the runs of this node by window and customer.
+// usageCounter counts the requests executed through this node, by window and customer.
 type usageCounter struct {
 	mu     sync.Mutex
 	window time.Duration
 	clock  func() time.Time
-	counts map[usageCell]int64
+	counts map[usageKey]int64
 }
 
-type usageCell struct {
+type usageKey struct {
 	window   int64
 	customer string
 }
 
-const usageWindowsTold = 5
+const maxUsageWindows = 5
 
 func newUsageCounter(window time.Duration, clock func() time.Time) *usageCounter {
-	return &usageCounter{window: window, clock: clock, counts: map[usageCell]int64{}}
+	return &usageCounter{window: window, clock: clock, counts: map[usageKey]int64{}}
 }
 
-// count notes that a request of the customer begins to run now.
-func (u *usageCounter) count(customer string) {
+// add counts a request of the customer in the current window.
+func (u *usageCounter) add(customer string) {
 	window := duty.WindowIndex(u.clock(), u.window)
 	u.mu.Lock()
-	u.counts[usageCell{window, customer}]++
+	u.counts[usageKey{window, customer}]++
 	u.mu.Unlock()
 }
 
-// recent returns the counts of the last windows and forgets older ones.
-func (u *usageCounter) recent() map[usageCell]int64 {
-	oldest := duty.WindowIndex(u.clock(), u.window) - usageWindowsTold
+// recent returns the counts of the last windows and drops older ones.
+func (u *usageCounter) recent() map[usageKey]int64 {
+	oldest := duty.WindowIndex(u.clock(), u.window) - maxUsageWindows
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make(map[usageCell]int64, len(u.counts))
-	for cell, count := range u.counts {
-		if cell.window < oldest {
-			delete(u.counts, cell)
+	out := make(map[usageKey]int64, len(u.counts))
+	for key, count := range u.counts {
+		if key.window < oldest {
+			delete(u.counts, key)
 			continue
 		}
-		out[cell] = count
+		out[key] = count
 	}
 	return out
 }
