--- a/src/upstream/candidate.go
+++ b/src/upstream/candidate.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	defaultStepMS  = 20
-	defaultPrefill = 5000
-	defaultSlots   = 32
-	rateWindow     = 2 * time.Second // over which a node's own rate is taken
-	leastDrain     = 0.1             // of the prefill rate, whatever the others send
+	defaultStepMS     = 20
+	defaultPrefillTPS = 5000
+	defaultSlots      = 32
+	sendRateWindow    = 2 * time.Second // window over which this node's send rate is averaged
+	minDrainFraction  = 0.1             // lower bound of the queue drain rate, as a fraction of the prefill rate
 )
 
-// Candidate is one upstream as a route sees it at one moment.
+// Candidate is a snapshot of one upstream for a routing decision.
 type Candidate struct {
 	Name            string
 	Addr            string
@@ -24,22 +24,21 @@
 	Region          string
 	Version         string
 	Slots           float64
-	Busy            float64 // streams running or waiting, own sends since the report counted in
-	OwnRequests     int     // of this node, in progress
-	QueuedTokens    float64 // prompt tokens ahead
+	Busy            float64 // estimated streams running or waiting
+	OwnRequests     int     // requests of this node in progress
+	QueuedTokens    float64 // estimated prompt tokens not yet prefilled
 	PrefillTPS      float64
 	StepMS          float64
-	CachedBlocks    int     // of the request's blocks, believed held
-	CacheConfidence float64 // 0 to 1, decaying with the belief's age
-	SlowStartWeight float64 // 0 to 1 while it returns from an ejection
+	CachedBlocks    int     // leading blocks of the request expected in the prefix cache
+	CacheConfidence float64 // 0 to 1, decays with the time since the last of them was seen
+	SlowStartWeight float64 // 0 to 1, below 1 after an ejection
 	KVTransferTPS   float64
 }
 
-// Candidates returns the upstreams that may take a new request for a model
-// (or adapter): loaded there, not leaving, not ejected. blocks are the
-// request's prefix blocks.
+// Candidates returns the upstreams that have a model or adapter loaded and
+// are neither leaving nor ejected. blocks are the request's prefix blocks.
 func (r *Registry) Candidates(model string, blocks []uint64) []Candidate {
-	return r.gather(blocks, func(u *Upstream) (string, bool) {
+	return r.selectCandidates(blocks, func(u *Upstream) (string, bool) {
 		i := slices.IndexFunc(u.Models, func(m engine.LoadedModel) bool { return m.Name == model })
 		if i < 0 {
 			return "", false
@@ -48,33 +47,34 @@
 	})
 }
 
-// ServiceCandidates returns the upstreams that may take a call of a service.
+// ServiceCandidates returns the upstreams of a service that are neither
+// leaving nor ejected.
 func (r *Registry) ServiceCandidates(service string) []Candidate {
-	return r.gather(nil, func(u *Upstream) (string, bool) {
+	return r.selectCandidates(nil, func(u *Upstream) (string, bool) {
 		return "", u.Kind == KindService && u.Service == service
 	})
 }
 
-func (r *Registry) gather(blocks []uint64, fits func(*Upstream) (string, bool)) []Candidate {
+func (r *Registry) selectCandidates(blocks []uint64, match func(*Upstream) (string, bool)) []Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	var out, ejected []Candidate
-	for _, u := range r.all {
-		version, ok := fits(u)
+	for _, u := range r.upstreams {
+		version, ok := match(u)
 		if !ok || u.isLeaving() {
 			continue
 		}
-		c := u.candidate(now, blocks, r.others)
+		c := u.candidate(now, blocks, r.peerLoadFactor)
 		c.Version = version
-		if now.Before(u.ejected) {
+		if now.Before(u.ejectedUntil) {
 			ejected = append(ejected, c)
 			continue
 		}
 		out = append(out, c)
 	}
-	// When all are ejected the fault is likelier between here and there:
-	// trying one is better than serving nobody.
+	// If every upstream is ejected, the fault is probably in the network
+	// between, so the ejections are ignored.
 	if len(out) == 0 {
 		out = ejected
 	}
@@ -87,75 +87,75 @@
 	return out
 }
 
-func (u *Upstream) candidate(now time.Time, blocks []uint64, others float64) Candidate {
+func (u *Upstream) candidate(now time.Time, blocks []uint64, peerLoadFactor float64) Candidate {
 	c := Candidate{
 		Name: u.Name, Addr: u.Addr, FailureDomain: u.FailureDomain, Region: u.Region, OwnRequests: u.inflight, KVTransferTPS: u.KVTransferTPS,
-		Slots: orDefault(float64(u.Slots), defaultSlots), StepMS: orDefault(u.step, defaultStepMS),
-		PrefillTPS: orDefault(u.PrefillTPS, defaultPrefill), SlowStartWeight: float64(u.credit+1) / (returnSteps + 1),
+		Slots: orDefault(float64(u.Slots), defaultSlots), StepMS: orDefault(u.stepMS, defaultStepMS),
+		PrefillTPS: orDefault(u.PrefillTPS, defaultPrefillTPS), SlowStartWeight: float64(u.slowStartProgress+1) / (slowStartSuccesses + 1),
 	}
-	if u.prefill > 0 {
-		c.PrefillTPS = u.prefill
+	if u.measuredPrefillTPS > 0 {
+		c.PrefillTPS = u.measuredPrefillTPS
 	}
-	c.Busy, c.QueuedTokens = u.load(now, c.PrefillTPS, others)
-	c.CachedBlocks, c.CacheConfidence = u.believed(now, blocks)
+	c.Busy, c.QueuedTokens = u.estimateLoad(now, c.PrefillTPS, peerLoadFactor)
+	c.CachedBlocks, c.CacheConfidence = u.cachedPrefix(now, blocks)
 	return c
 }
 
-// load is the report brought forward to now. What this node sent and what
-// ended since counts as it happened; what other nodes did is taken to be the
-// same in proportion, so that nodes which see the same free slots do not all
-// fill them. Prompts are worked off at the measured rate.
-func (u *Upstream) load(now time.Time, prefill float64, others float64) (busy, queued float64) {
-	u.sends = slices.DeleteFunc(u.sends, func(s send) bool {
-		reported := !s.ended.IsZero() && !s.ended.After(u.reportAt)
-		return reported && now.Sub(s.at) > rateWindow || now.Sub(s.at) > sendsKept
+// estimateLoad extrapolates the last load report to now. It adds the requests
+// this node has started and ended since, scaled up by the load of the other
+// nodes, so that nodes which see the same free slots do not all fill them. The
+// prompt queue drains at queueDrainRate.
+func (u *Upstream) estimateLoad(now time.Time, prefill float64, peerLoadFactor float64) (busy, queuedTokens float64) {
+	u.sent = slices.DeleteFunc(u.sent, func(s sentRequest) bool {
+		reported := !s.endedAt.IsZero() && !s.endedAt.After(u.reportAt)
+		return reported && now.Sub(s.at) > sendRateWindow || now.Sub(s.at) > sentRetention
 	})
-	busy, queued = u.running+u.waiting, u.queued
+	busy, queuedTokens = u.running+u.waiting, u.queuedTokens
 	change := 0.0
-	at, drain := u.reportAt, u.drain(now, prefill, others)
-	for _, s := range u.sends {
+	at, queueDrainRate := u.reportAt, u.queueDrainRate(now, prefill, peerLoadFactor)
+	for _, s := range u.sent {
 		reported := !s.at.After(u.reportAt)
 		switch {
-		case reported && s.ended.After(u.reportAt):
+		case reported && s.endedAt.After(u.reportAt):
 			change--
-		case !reported && s.ended.IsZero():
+		case !reported && s.endedAt.IsZero():
 			change++
 		}
 		if !reported {
-			queued = max(queued-s.at.Sub(at).Seconds()*drain, 0) + s.tokens
+			queuedTokens = max(queuedTokens-s.at.Sub(at).Seconds()*queueDrainRate, 0) + s.tokens
 			at = s.at
 		}
 	}
-	queued -= now.Sub(at).Seconds() * drain
-	busy += change * (1 + others)
-	return max(busy, float64(u.inflight)), max(queued, 0)
+	queuedTokens -= now.Sub(at).Seconds() * queueDrainRate
+	busy += change * (1 + peerLoadFactor)
+	return max(busy, float64(u.inflight)), max(queuedTokens, 0)
 }
 
-// drain is the rate at which the queue known here gets shorter: the prefill
-// rate, less what the other nodes send meanwhile.
-func (u *Upstream) drain(now time.Time, prefill float64, others float64) float64 {
+// queueDrainRate returns the rate at which the prompt queue shrinks: the
+// prefill rate less the estimated send rate of the other nodes.
+func (u *Upstream) queueDrainRate(now time.Time, prefill float64, peerLoadFactor float64) float64 {
 	own := 0.0
-	for _, s := range u.sends {
-		if now.Sub(s.at) < rateWindow {
+	for _, s := range u.sent {
+		if now.Sub(s.at) < sendRateWindow {
 			own += s.tokens
 		}
 	}
-	return max(prefill-own/rateWindow.Seconds()*others, prefill*leastDrain)
+	return max(prefill-own/sendRateWindow.Seconds()*peerLoadFactor, prefill*minDrainFraction)
 }
 
-// believed is how many leading blocks the upstream is believed to hold, and
-// how far the belief in the last of them still holds.
-func (u *Upstream) believed(now time.Time, blocks []uint64) (int, float64) {
-	n, belief := 0, 1.0
+// cachedPrefix returns how many leading blocks the upstream is expected to
+// have cached, and the confidence in the last of them.
+func (u *Upstream) cachedPrefix(now time.Time, blocks []uint64) (int, float64) {
+	n, confidence := 0, 1.0
 	for _, b := range blocks {
-		at, ok := u.beliefs[b]
+		at, ok := u.cachedBlocks[b]
 		if !ok {
 			break
 		}
 		n++
-		belief = math.Exp2(-now.Sub(at).Seconds() / beliefHalfLife.Seconds())
+		confidence = math.Exp2(-now.Sub(at).Seconds() / cacheHalfLife.Seconds())
 	}
-	return n, belief
+	return n, confidence
 }
 
 func orDefault(v, d float64) float64 {
@@ -165,33 +165,33 @@
 	return d
 }
 
-// Dump is an upstream as the state dump shows it.
+// Dump is the state of an upstream for diagnostics.
 type Dump struct {
 	Published
-	Leaving   bool    `json:"leaving"`
-	Ejected   bool    `json:"ejected"`
-	Inflight  int     `json:"inflight"`
-	Busy      float64 `json:"busy"`
-	Queued    float64 `json:"queued_tokens"`
-	StepMS    float64 `json:"step_ms"`
-	Prefill   float64 `json:"prefill_tps"`
-	Beliefs   int     `json:"cache_beliefs"`
-	ReportAge float64 `json:"report_age_s"`
+	Leaving            bool    `json:"leaving"`
+	Ejected            bool    `json:"ejected"`
+	Inflight           int     `json:"inflight"`
+	Busy               float64 `json:"busy"`
+	QueuedTokens       float64 `json:"queued_tokens"`
+	StepMS             float64 `json:"step_ms"`
+	MeasuredPrefillTPS float64 `json:"prefill_tps"`
+	CachedBlocks       int     `json:"cache_beliefs"`
+	ReportAge          float64 `json:"report_age_s"`
 }
 
-// Dumps returns all upstreams for the state dump.
+// Dumps returns the state of all upstreams, sorted by name.
 func (r *Registry) Dumps() []Dump {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	var out []Dump
-	for _, u := range r.all {
-		d := Dump{Published: u.Published, Leaving: u.isLeaving(), Ejected: now.Before(u.ejected), Inflight: u.inflight,
-			StepMS: u.step, Prefill: u.prefill, Beliefs: len(u.beliefs), ReportAge: now.Sub(u.reportAt).Seconds()}
+	for _, u := range r.upstreams {
+		d := Dump{Published: u.Published, Leaving: u.isLeaving(), Ejected: now.Before(u.ejectedUntil), Inflight: u.inflight,
+			StepMS: u.stepMS, MeasuredPrefillTPS: u.measuredPrefillTPS, CachedBlocks: len(u.cachedBlocks), ReportAge: now.Sub(u.reportAt).Seconds()}
 		if u.reportAt.IsZero() {
 			d.ReportAge = -1
 		}
-		d.Busy, d.Queued = u.load(now, orDefault(u.prefill, defaultPrefill), r.others)
+		d.Busy, d.QueuedTokens = u.estimateLoad(now, orDefault(u.measuredPrefillTPS, defaultPrefillTPS), r.peerLoadFactor)
 		out = append(out, d)
 	}
 	slices.SortFunc(out, func(a, b Dump) int {
--- a/src/upstream/published.go
+++ b/src/upstream/published.go
@@ -1,6 +1,6 @@
-// Package upstream owns what a node knows of the model engines and plain
-// services it may send to: what the planner published, what the node saw
-// itself, and which of them are leaving.
+// Package upstream tracks the model engines and plain services a node may send
+// requests to: the lists the planner publishes, the load and health the node
+// observes, and which upstreams are leaving.
 package upstream
 
 import (
@@ -10,19 +10,19 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Prefix is where the published lists stand, one value a failure domain.
+// Prefix is the key prefix of the published lists, one key per failure domain.
 const Prefix = view.Prefix + "upstreams/"
 
-// Kind tells what an upstream is.
+// Kind is the kind of an upstream.
 type Kind string
 
-// The kinds of upstream.
+// The kinds of upstreams.
 const (
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
 )
 
-// Published is one upstream as the planner last saw it.
+// Published is an upstream as published by the planner.
 type Published struct {
 	Name          string               `json:"name"`
 	VM            string               `json:"vm,omitempty"`
@@ -35,26 +35,26 @@
 	Slots         int                  `json:"slots,omitempty"`
 	PrefillTPS    float64              `json:"prefill,omitempty"`
 	KVTransferTPS float64              `json:"move,omitempty"`
-	LeavingMS     int64                `json:"leaving,omitempty"` // Unix ms; 0 when it stays
+	LeavingMS     int64                `json:"leaving,omitempty"` // deadline in Unix ms; 0 if the upstream is not leaving
 }
 
-// Domain is the published list of one failure domain.
+// DomainUpstreams lists the published upstreams of one failure domain.
 type DomainUpstreams struct {
 	Upstreams []Published `json:"upstreams"`
 }
 
-// DecodeDomain reads the stored form.
+// DecodeDomainUpstreams decodes the stored form.
 func DecodeDomainUpstreams(raw []byte) (DomainUpstreams, error) {
 	var d DomainUpstreams
 	err := json.Unmarshal(raw, &d)
 	return d, err
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form.
 func (d DomainUpstreams) Encode() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
-		panic("an upstream list cannot be encoded: " + err.Error())
+		panic("encode upstream list: " + err.Error())
 	}
 	return raw
 }
--- a/src/upstream/registry.go
+++ b/src/upstream/registry.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	ejectFirst     = 500 * time.Millisecond
-	ejectMost      = 30 * time.Second
-	ejectAfter     = 2 // failures in a row that are not refused connections
-	returnSteps    = 4 // successes until an ejected upstream has its full share again
-	unusedAfter    = 30 * time.Second
-	unusedFactor   = 4
-	leavingKept    = 10 * time.Minute
-	ewmaNew        = 0.2
-	beliefHalfLife = 2 * time.Minute
-	beliefsKept    = 20000
-	sendsKept      = 30 * time.Second
+	ejectInitial       = 500 * time.Millisecond
+	ejectMax           = 30 * time.Second
+	ejectThreshold     = 2 // consecutive failures other than refused connections
+	slowStartSuccesses = 4 // successes after an ejection until the upstream has full weight
+	idleAfter          = 30 * time.Second
+	idlePollFactor     = 4 // factor on the report interval of an idle upstream
+	leavingRetention   = 10 * time.Minute
+	prefillEWMAWeight  = 0.2
+	cacheHalfLife      = 2 * time.Minute
+	maxCachedBlocks    = 20000
+	sentRetention      = 30 * time.Second
 )
 
-// Upstream is what a node knows of one upstream. It is guarded by its Registry.
+// Upstream is a node's state of one upstream, guarded by the lock of its Registry.
 type Upstream struct {
 	Published
-	leaving  chan struct{} // closed at the first sign of leaving
-	deadline time.Time
-
-	failures int
-	ejected  time.Time // no work before
-	backoff  time.Duration
-	credit   int // successes since ejection, up to returnSteps
-
-	reportAt time.Time
-	running  float64
-	waiting  float64
-	queued   float64
-	step     float64 // ms
-	prefill  float64 // tokens a second, measured
-	cacheSeq int64
-	inflight int
-	sends    []send
-	used     time.Time // of the last request
-	beliefs  map[uint64]time.Time
+	leaving         chan struct{} // closed when the upstream is marked as leaving
+	leavingDeadline time.Time
+
+	failures          int
+	ejectedUntil      time.Time
+	backoff           time.Duration
+	slowStartProgress int // successes since the ejection, at most slowStartSuccesses
+
+	reportAt           time.Time
+	running            float64
+	waiting            float64
+	queuedTokens       float64
+	stepMS             float64
+	measuredPrefillTPS float64 // 0 before the first measurement
+	cacheSeq           int64
+	inflight           int
+	sent               []sentRequest
+	lastUsed           time.Time            // start of the last request
+	cachedBlocks       map[uint64]time.Time // last time each block was seen or sent
 }
 
-// send is one request this node sent to an upstream.
-type send struct {
-	at     time.Time
-	tokens float64
-	ended  time.Time // zero while it runs
+// sentRequest is a request this node sent to an upstream.
+type sentRequest struct {
+	at      time.Time // start time
+	tokens  float64
+	endedAt time.Time // zero while in progress
 }
 
-// Registry is the set of upstreams a node knows.
+// Registry holds a node's state of all upstreams. It is safe for concurrent use.
 type Registry struct {
-	mu     sync.Mutex
-	now    func() time.Time
-	all    map[string]*Upstream
-	left   map[string]time.Time // deadlines heard of, by name
-	onLeft func(name string, deadline time.Time)
-	others float64 // what all other nodes send, in multiples of what this one does
+	mu               sync.Mutex
+	now              func() time.Time
+	upstreams        map[string]*Upstream
+	leavingDeadlines map[string]time.Time // by name, also of upstreams not published yet
+	onLeaving        func(name string, deadline time.Time)
+	peerLoadFactor   float64 // load sent by all other nodes, relative to this node's
 }
 
-// NewRegistry returns an empty registry. onLeft is called once for each
-// upstream whose leaving this node is told or sees, outside any lock.
-func NewRegistry(now func() time.Time, onLeft func(string, time.Time)) *Registry {
-	return &Registry{now: now, all: map[string]*Upstream{}, left: map[string]time.Time{}, onLeft: onLeft}
+// NewRegistry returns an empty registry. onLeaving is called, without locks
+// held, when MarkLeaving is called for an upstream not known to be leaving.
+func NewRegistry(now func() time.Time, onLeaving func(string, time.Time)) *Registry {
+	return &Registry{now: now, upstreams: map[string]*Upstream{}, leavingDeadlines: map[string]time.Time{}, onLeaving: onLeaving}
 }
 
-// SetOthers tells how much all other nodes send to this node's upstreams, in
-// multiples of what this node sends.
-func (r *Registry) SetPeerLoadFactor(times float64) {
+// SetPeerLoadFactor sets the load that all other nodes send to this node's
+// upstreams, relative to the load this node sends.
+func (r *Registry) SetPeerLoadFactor(factor float64) {
 	r.mu.Lock()
-	r.others = max(times, 0)
+	r.peerLoadFactor = max(factor, 0)
 	r.mu.Unlock()
 }
 
-// Replace takes in the published lists. Upstreams that are no longer in them
-// are dropped; what was measured of the others stays.
+// Replace replaces the published lists. Upstreams that are no longer listed are
+// removed; measurements of the others are kept.
 func (r *Registry) Replace(domains []DomainUpstreams) {
 	r.mu.Lock()
 	seen := map[string]bool{}
@@ -93,39 +93,39 @@
 			}
 		}
 	}
-	for name, u := range r.all {
+	for name, u := range r.upstreams {
 		if !seen[name] {
-			u.leave(r.now())
-			delete(r.all, name)
+			u.markLeaving(r.now())
+			delete(r.upstreams, name)
 		}
 	}
 	r.mu.Unlock()
 	for _, p := range leaving {
-		// Every node reads the same list, so this is not passed on.
-		r.mark(p.Name, time.UnixMilli(p.LeavingMS))
+		// Every node reads the same list, so onLeaving is not called.
+		r.setLeaving(p.Name, time.UnixMilli(p.LeavingMS))
 	}
 }
 
 func (r *Registry) update(p Published) {
-	u := r.all[p.Name]
+	u := r.upstreams[p.Name]
 	if u == nil || u.Addr != p.Addr {
 		if u != nil {
-			u.leave(r.now())
+			u.markLeaving(r.now())
 		}
-		u = &Upstream{leaving: make(chan struct{}), beliefs: map[uint64]time.Time{}, credit: returnSteps}
-		r.all[p.Name] = u
-		if at, ok := r.left[p.Name]; ok && p.LeavingMS > 0 {
-			u.leave(at)
+		u = &Upstream{leaving: make(chan struct{}), cachedBlocks: map[uint64]time.Time{}, slowStartProgress: slowStartSuccesses}
+		r.upstreams[p.Name] = u
+		if at, ok := r.leavingDeadlines[p.Name]; ok && p.LeavingMS > 0 {
+			u.markLeaving(at)
 		}
 	}
 	u.Published = p
 }
 
-func (u *Upstream) leave(deadline time.Time) bool {
+func (u *Upstream) markLeaving(leavingDeadline time.Time) bool {
 	if u.isLeaving() {
 		return false
 	}
-	u.deadline = deadline
+	u.leavingDeadline = leavingDeadline
 	close(u.leaving)
 	return true
 }
@@ -139,147 +139,148 @@
 	}
 }
 
-// Leave marks an upstream as leaving, whoever says so. It gets no new work
-// from now on. The word is kept for an upstream that is not published yet.
+// MarkLeaving marks an upstream as leaving: it is no longer a candidate. The
+// mark is also kept for an upstream that is not published yet.
 func (r *Registry) MarkLeaving(name string, deadline time.Time) {
-	if r.mark(name, deadline) && r.onLeft != nil {
-		r.onLeft(name, deadline)
+	if r.setLeaving(name, deadline) && r.onLeaving != nil {
+		r.onLeaving(name, deadline)
 	}
 }
 
-// mark enters a leaving and tells whether it is news.
-func (r *Registry) mark(name string, deadline time.Time) bool {
+// setLeaving records the deadline and reports whether the upstream was not
+// known to be leaving before.
+func (r *Registry) setLeaving(name string, deadline time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, known := r.left[name]
-	r.left[name] = deadline
-	fresh := !known
-	if u := r.all[name]; u != nil {
-		fresh = u.leave(deadline) || fresh
+	_, known := r.leavingDeadlines[name]
+	r.leavingDeadlines[name] = deadline
+	changed := !known
+	if u := r.upstreams[name]; u != nil {
+		changed = u.markLeaving(deadline) || changed
 	}
-	return fresh
+	return changed
 }
 
-// LeavingList returns the names known to be leaving, with their deadlines.
+// LeavingDeadlines returns the deadlines of the leaving upstreams by name.
 func (r *Registry) LeavingDeadlines() map[string]time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.left, func(_ string, at time.Time) bool { return r.now().Sub(at) > leavingKept })
-	return maps.Clone(r.left)
+	maps.DeleteFunc(r.leavingDeadlines, func(_ string, at time.Time) bool { return r.now().Sub(at) > leavingRetention })
+	return maps.Clone(r.leavingDeadlines)
 }
 
-// LeavingDomains are the failure domains of which at least half the known
-// upstreams are leaving.
+// LeavingDomains returns the failure domains that have leaving upstreams; the
+// value is true if at least half of the domain's upstreams are leaving.
 func (r *Registry) LeavingDomains() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all, leaving := map[string]int{}, map[string]int{}
-	for _, u := range r.all {
-		all[u.FailureDomain]++
+	upstreams, leaving := map[string]int{}, map[string]int{}
+	for _, u := range r.upstreams {
+		upstreams[u.FailureDomain]++
 		if u.isLeaving() {
 			leaving[u.FailureDomain]++
 		}
 	}
 	out := map[string]bool{}
 	for d, n := range leaving {
-		out[d] = 2*n >= all[d]
+		out[d] = 2*n >= upstreams[d]
 	}
 	return out
 }
 
-// Leaving returns a channel that is closed once the upstream leaves, and its
-// deadline when it does. An unknown upstream has left.
+// Leaving returns a channel that is closed once the upstream is marked as
+// leaving, and its deadline if it is. The channel of an unknown upstream is closed.
 func (r *Registry) Leaving(name string) (<-chan struct{}, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		gone := make(chan struct{})
 		close(gone)
 		return gone, r.now()
 	}
-	return u.leaving, u.deadline
+	return u.leaving, u.leavingDeadline
 }
 
-// Failed notes that the upstream could not be reached or broke off. A refused
-// connection ejects it at once; other failures after a few in a row.
+// RecordFailure records a failed request. A failure to connect ejects the
+// upstream at once, other failures after ejectThreshold in a row.
 func (r *Registry) RecordFailure(name string, connect bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return
 	}
 	u.failures++
-	if !connect && u.failures < ejectAfter {
+	if !connect && u.failures < ejectThreshold {
 		return
 	}
-	u.backoff = min(max(u.backoff*2, ejectFirst), ejectMost)
-	u.ejected = r.now().Add(u.backoff)
-	u.credit = 0
+	u.backoff = min(max(u.backoff*2, ejectInitial), ejectMax)
+	u.ejectedUntil = r.now().Add(u.backoff)
+	u.slowStartProgress = 0
 	u.failures = 0
 }
 
-// Succeeded notes an answer; an ejected upstream earns its share back slowly.
+// RecordSuccess records a successful request. After an ejection it raises the
+// upstream's slow-start weight.
 func (r *Registry) RecordSuccess(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return
 	}
 	u.failures = 0
-	u.credit = min(u.credit+1, returnSteps)
-	if u.credit == returnSteps {
+	u.slowStartProgress = min(u.slowStartProgress+1, slowStartSuccesses)
+	if u.slowStartProgress == slowStartSuccesses {
 		u.backoff = 0
 	}
 }
 
-// Report takes in a load report; one older than the last is dropped.
-func (r *Registry) UpdateLoad(name string, at time.Time, running, waiting, queued, step float64) {
+// UpdateLoad applies a load report unless it is older than the last one.
+func (r *Registry) UpdateLoad(name string, at time.Time, running, waiting, queuedTokens, stepMS float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil || !at.After(u.reportAt) {
 		return
 	}
-	u.reportAt, u.running, u.waiting, u.queued, u.step = at, running, waiting, queued, step
+	u.reportAt, u.running, u.waiting, u.queuedTokens, u.stepMS = at, running, waiting, queuedTokens, stepMS
 }
 
-// ReportDue tells whether an upstream should be asked for its load: when the
-// last report is older than every. One that this node has not used for a
-// while is asked a quarter as often: the first answer of its next request
-// tells as much.
-func (r *Registry) ReportDue(name string, every time.Duration) bool {
+// ReportDue reports whether the last load report is at least interval old. The
+// interval is longer for idle upstreams, since the answer to the next request
+// carries a load report too.
+func (r *Registry) ReportDue(name string, interval time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return false
 	}
-	if r.now().Sub(u.used) > unusedAfter && !u.reportAt.IsZero() {
-		every *= unusedFactor
+	if r.now().Sub(u.lastUsed) > idleAfter && !u.reportAt.IsZero() {
+		interval *= idlePollFactor
 	}
-	return r.now().Sub(u.reportAt) >= every
+	return r.now().Sub(u.reportAt) >= interval
 }
 
-// Begin counts a request out to the upstream: the prompt tokens it must
-// compute, and the prefix blocks it will then hold. The returned function
-// ends it.
+// Begin records the start of a request with the prompt tokens the upstream has
+// to compute and the prefix blocks it will then have cached. The returned
+// function records its end.
 func (r *Registry) Begin(name string, tokens float64, blocks []uint64) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return func() {}
 	}
 	now := r.now()
-	u.used = now
+	u.lastUsed = now
 	u.inflight++
-	u.sends = append(u.sends, send{at: now, tokens: tokens})
-	if len(u.beliefs) < beliefsKept {
+	u.sent = append(u.sent, sentRequest{at: now, tokens: tokens})
+	if len(u.cachedBlocks) < maxCachedBlocks {
 		for _, b := range blocks {
-			u.beliefs[b] = now
+			u.cachedBlocks[b] = now
 		}
 	}
 	at := now
@@ -290,92 +291,93 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u.inflight--
-	for i := range u.sends {
-		if u.sends[i].at.Equal(at) && u.sends[i].ended.IsZero() {
-			u.sends[i].ended = r.now()
+	for i := range u.sent {
+		if u.sent[i].at.Equal(at) && u.sent[i].endedAt.IsZero() {
+			u.sent[i].endedAt = r.now()
 			break
 		}
 	}
 }
 
-// CacheSeen corrects the belief in a prefix by what an answer's usage said:
-// cachedBlocks of the blocks were held.
-func (r *Registry) RecordCacheUsage(name string, blocks []uint64, cachedBlocks int) {
+// RecordCacheUsage records an answer's usage: hits of the prompt's
+// blocks were in the upstream's prefix cache.
+func (r *Registry) RecordCacheUsage(name string, blocks []uint64, hits int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return
 	}
 	for _, b := range blocks {
-		// After the answer the engine holds all of them, whatever it held before.
-		u.beliefs[b] = r.now()
+		// After prefill the engine has all blocks of the prompt cached.
+		u.cachedBlocks[b] = r.now()
 	}
-	if cachedBlocks < len(blocks) {
-		u.cacheMisses()
+	if hits < len(blocks) {
+		u.dropOldestBlocks()
 	}
 }
 
-// cacheMisses drops the oldest beliefs when the engine turned out to hold less than believed.
-func (u *Upstream) cacheMisses() {
-	if len(u.beliefs) < beliefsKept/2 {
+// dropOldestBlocks forgets the oldest quarter of the blocks after a cache miss.
+func (u *Upstream) dropOldestBlocks() {
+	if len(u.cachedBlocks) < maxCachedBlocks/2 {
 		return
 	}
 	var times []time.Time
-	for _, at := range u.beliefs {
+	for _, at := range u.cachedBlocks {
 		times = append(times, at)
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	oldest := times[len(times)/4]
-	maps.DeleteFunc(u.beliefs, func(_ uint64, at time.Time) bool { return at.Before(oldest) })
+	maps.DeleteFunc(u.cachedBlocks, func(_ uint64, at time.Time) bool { return at.Before(oldest) })
 }
 
-// CacheEvents takes in the engine's own cache events.
+// ApplyCacheEvents applies cache events reported by the engine.
 func (r *Registry) ApplyCacheEvents(name string, seq int64, events []engine.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return
 	}
 	for _, ev := range events {
 		if ev.Evicted {
-			delete(u.beliefs, ev.Block)
-		} else if len(u.beliefs) < beliefsKept {
-			u.beliefs[ev.Block] = r.now()
+			delete(u.cachedBlocks, ev.Block)
+		} else if len(u.cachedBlocks) < maxCachedBlocks {
+			u.cachedBlocks[ev.Block] = r.now()
 		}
 	}
 	u.cacheSeq = max(u.cacheSeq, seq)
 }
 
-// CacheSeq is the number of the last cache event taken in.
+// CacheSeq returns the sequence number of the last applied cache event.
 func (r *Registry) CacheSeq(name string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u := r.all[name]; u != nil {
+	if u := r.upstreams[name]; u != nil {
 		return u.cacheSeq
 	}
 	return 0
 }
 
-// MeasuredPrefill takes in one observation of the prefill rate, tokens a second.
+// RecordPrefillRate adds a measurement in tokens per second to the moving
+// average of the prefill rate.
 func (r *Registry) RecordPrefillRate(name string, tps float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u := r.all[name]; u != nil && tps > 0 {
-		if u.prefill == 0 {
-			u.prefill = tps
+	if u := r.upstreams[name]; u != nil && tps > 0 {
+		if u.measuredPrefillTPS == 0 {
+			u.measuredPrefillTPS = tps
 		}
-		u.prefill += ewmaNew * (tps - u.prefill)
+		u.measuredPrefillTPS += prefillEWMAWeight * (tps - u.measuredPrefillTPS)
 	}
 }
 
-// Names lists all upstreams of a kind, sorted.
+// Names returns the sorted names of all upstreams of a kind.
 func (r *Registry) Names(kind Kind) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for name, u := range r.all {
+	for name, u := range r.upstreams {
 		if u.Kind == kind {
 			out = append(out, name)
 		}
@@ -384,11 +386,11 @@
 	return out
 }
 
-// Get returns the published part of an upstream.
+// Get returns the published fields of an upstream.
 func (r *Registry) Get(name string) (Published, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.all[name]
+	u := r.upstreams[name]
 	if u == nil {
 		return Published{}, false
 	}
