--- a/src/capacity/demand.go
+++ b/src/capacity/demand.go
@@ -6,105 +6,105 @@
 	"time"
 )
 
-// Constants of demand.
 const (
-	rateHalfLife   = 3 * time.Second  // of the measured rate of prompt tokens
-	peakFor        = 20 * time.Second // for which the highest demand is held
-	stepServers    = 2                // demand counts in steps of so many servers
-	readUsed       = 0.28             // of an engine's rate of reading that is planned for
-	slotsUsed      = 0.4              // of an engine's places that are planned for
-	readQuantile   = 0.7              // of the samples that lie below the measured rate of reading
-	readStep       = 0.1              // part by which one sample moves it, at most
-	sampleTokens   = 1500             // a shorter prompt tells little of the rate of reading
-	defaultReading = 50000.0          // tokens a second, before any was measured
+	rateHalfLife       = 3 * time.Second  // half-life of the prompt token rate
+	peakWindow         = 20 * time.Second // window of RollingMax
+	serverStep         = 2                // the number of servers is a multiple of this
+	prefillUtilization = 0.28             // target utilization of an engine's prefill rate
+	slotUtilization    = 0.4              // target utilization of an engine's slots
+	prefillQuantile    = 0.7              // quantile of the samples that the prefill rate tracks
+	prefillAdjustment  = 0.1              // step size of the quantile estimate, as a fraction of its value
+	minSampleTokens    = 1500             // shorter prompts are not sampled
+	defaultPrefillRate = 50000.0          // tokens per second, before the first sample
 )
 
-// Meter measures what this node's requests ask of a service.
+// DemandMeter measures the demand of this node's requests on a service.
 type DemandMeter struct {
-	mu      sync.Mutex
-	tokens  float64 // a second, decaying
-	at      time.Time
-	reading float64 // quantile of the rate at which engines read prompts, tokens a second
+	mu          sync.Mutex
+	tokenRate   float64 // tokens per second at updatedAt, decaying
+	updatedAt   time.Time
+	prefillRate float64 // estimated quantile, tokens per second; 0 before the first sample
 }
 
-// Ask counts a prompt's tokens that no other request shares.
+// RecordPrompt adds the tokens of a prompt that are not in a shared prefix.
 func (m *DemandMeter) RecordPrompt(tokens int64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.tokens = fade(m.tokens, now.Sub(m.at), rateHalfLife) + float64(tokens)*math.Ln2/rateHalfLife.Seconds()
-	m.at = now
+	m.tokenRate = decay(m.tokenRate, now.Sub(m.updatedAt), rateHalfLife) + float64(tokens)*math.Ln2/rateHalfLife.Seconds()
+	m.updatedAt = now
 }
 
-// Read notes how long an engine took to the first event of a prompt. The
-// measured rate follows a high quantile: a prompt that waited tells too low a
-// rate, one that was kept in memory too high a one.
-func (m *DemandMeter) RecordPrefill(tokens int64, took time.Duration) {
-	if tokens < sampleTokens || took <= 0 {
+// RecordPrefill records the time to the first event of a prompt. The estimate
+// tracks a high quantile because prompts that were queued give too low a rate
+// and cached ones too high a rate.
+func (m *DemandMeter) RecordPrefill(tokens int64, duration time.Duration) {
+	if tokens < minSampleTokens || duration <= 0 {
 		return
 	}
-	rate := float64(tokens) / took.Seconds()
+	rate := float64(tokens) / duration.Seconds()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.reading == 0 {
-		m.reading = defaultReading
+	if m.prefillRate == 0 {
+		m.prefillRate = defaultPrefillRate
 	}
-	if rate > m.reading {
-		m.reading *= 1 + readStep*readQuantile
+	if rate > m.prefillRate {
+		m.prefillRate *= 1 + prefillAdjustment*prefillQuantile
 	} else {
-		m.reading *= 1 - readStep*(1-readQuantile)
+		m.prefillRate *= 1 - prefillAdjustment*(1-prefillQuantile)
 	}
 }
 
-// Tokens is the rate of unshared prompt tokens asked for, a second.
+// TokenRate returns the rate of unshared prompt tokens per second.
 func (m *DemandMeter) TokenRate(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return fade(m.tokens, now.Sub(m.at), rateHalfLife)
+	return decay(m.tokenRate, now.Sub(m.updatedAt), rateHalfLife)
 }
 
-// Reading is the measured rate of reading, tokens a second; 0 before any.
+// PrefillRate returns the estimated prefill rate in tokens per second, or 0
+// before the first sample.
 func (m *DemandMeter) PrefillRate() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.reading
+	return m.prefillRate
 }
 
-func fade(value float64, passed, half time.Duration) float64 {
-	return value * math.Exp2(-max(passed, 0).Seconds()/half.Seconds())
+func decay(value float64, elapsed, halfLife time.Duration) float64 {
+	return value * math.Exp2(-max(elapsed, 0).Seconds()/halfLife.Seconds())
 }
 
-// Peak holds the highest of the values of the last while.
+// RollingMax tracks the maximum of the values added within peakWindow.
 type RollingMax struct {
-	values []peakValue
+	samples []sample // in decreasing order of value
 }
 
-type peakValue struct {
+type sample struct {
 	value int
 	at    time.Time
 }
 
-// Raise takes in a value and returns the highest of those not older than peakFor.
+// Add adds a value and returns the maximum of those not older than peakWindow.
 func (p *RollingMax) Add(value int, now time.Time) int {
-	kept := p.values[:0]
-	for _, v := range p.values {
-		// A value that a later one reaches tells nothing more.
-		if now.Sub(v.at) < peakFor && v.value > value {
+	kept := p.samples[:0]
+	for _, v := range p.samples {
+		// A value that is not above a later one can no longer be the maximum.
+		if now.Sub(v.at) < peakWindow && v.value > value {
 			kept = append(kept, v)
 		}
 	}
-	p.values = append(kept, peakValue{value, now})
-	return p.values[0].value
+	p.samples = append(kept, sample{value, now})
+	return p.samples[0].value
 }
 
-// Servers is how many servers a demand needs: unshared prompt tokens a second,
-// requests in progress, places of a server, and the measured rate of reading.
-func RequiredServers(tokens, running float64, slots int, reading float64) int {
-	if reading <= 0 {
-		reading = defaultReading
+// RequiredServers returns the number of servers for a demand: unshared prompt
+// tokens per second, requests in progress, slots per server, and prefill rate.
+func RequiredServers(tokenRate, running float64, slots int, prefillRate float64) int {
+	if prefillRate <= 0 {
+		prefillRate = defaultPrefillRate
 	}
-	need := tokens / (reading * readUsed)
+	need := tokenRate / (prefillRate * prefillUtilization)
 	if slots > 0 {
-		need = max(need, running/(float64(slots)*slotsUsed))
+		need = max(need, running/(float64(slots)*slotUtilization))
 	}
-	return ceil(need/stepServers) * stepServers
+	return ceil(need/serverStep) * serverStep
 }
--- a/src/capacity/plan.go
+++ b/src/capacity/plan.go
@@ -1,6 +1,6 @@
-// Package capacity decides how many servers of a scalable service to have in
-// each failure domain: reclaimable ones while they can be had, a few on-demand
-// ones beneath them, and more of these in the place of what is taken away.
+// Package capacity plans how many servers of a scalable service to run in each
+// failure domain: a base of on-demand servers, reclaimable (spot) servers for
+// the rest, and further on-demand servers in place of missing spot servers.
 package capacity
 
 import (
@@ -11,80 +11,80 @@
 	"github.com/crankridge/crankridge/src/traffic"
 )
 
-// Parts of what is needed.
 const (
-	floorPart = 0.2  // on-demand servers that stay whatever reclaimable ones there are
-	hedgePart = 0.25 // reclaimable servers beyond the need: about what one failure domain may lose
+	onDemandFraction = 0.2  // minimum share of on-demand servers
+	spotHeadroom     = 0.25 // extra spot servers, to cover the loss of about one failure domain
 )
 
-// Supply is what a failure domain has, as listed.
+// Supply counts the running servers of a failure domain.
 type Supply struct {
 	OnDemand int
-	Spot     int // reclaimable ones that are not leaving
+	Spot     int
 }
 
-// SupplyOf counts the servers that serve, by failure domain.
+// SupplyOf counts the servers that are not draining by failure domain.
 func SupplyOf(servers []traffic.Upstream) map[string]Supply {
 	out := map[string]Supply{}
 	for _, s := range servers {
 		if s.Draining {
 			continue
 		}
-		have := out[s.FailureDomain]
+		supply := out[s.FailureDomain]
 		if s.Spot {
-			have.Spot++
+			supply.Spot++
 		} else {
-			have.OnDemand++
+			supply.OnDemand++
 		}
-		out[s.FailureDomain] = have
+		out[s.FailureDomain] = supply
 	}
 	return out
 }
 
-// Standing is the need that the servers that are there were bought for. At the
-// first start of the system they were not bought by a plan.
-func InferredNeed(servers []traffic.Upstream, first bool) int {
+// InferredNeed estimates the need from the servers that are running. At the
+// first start of the system they include no spot headroom.
+func InferredNeed(servers []traffic.Upstream, firstStart bool) int {
 	serving := 0
 	for _, s := range servers {
 		if !s.Draining {
 			serving++
 		}
 	}
-	if first {
+	if firstStart {
 		return serving
 	}
-	return int(float64(serving) / (1 + hedgePart))
+	return int(float64(serving) / (1 + spotHeadroom))
 }
 
-// Need is how many servers a service shall have in all.
+// Need is the total number of servers that a service needs.
 type Need struct {
 	Servers int
-	// SpotComing says that reclaimable servers were ordered just now and that
-	// nothing needs them yet: no on-demand ones are kept or bought in their place.
+	// SpotPending is true while ordered spot servers are booting and there is no
+	// demand yet: no on-demand servers replace them.
 	SpotPending bool
 }
 
-// Plan returns the orders that give a service what it needs: reclaimable
-// servers evenly over the failure domains, and on-demand ones in the cheapest.
+// Plan returns the orders for a service: spot servers spread evenly over the
+// failure domains, and on-demand servers within the remaining limits. The
+// cheapest domains come first.
 func Plan(service string, scaling traffic.Scaling, need Need, supply map[string]Supply) []duty.Order {
-	domains := byPrice(scaling)
+	domains := domainsByPrice(scaling)
 	if len(domains) == 0 {
 		return nil
 	}
-	most := len(domains) * scaling.Max
-	servers := min(max(need.Servers, len(domains)*max(scaling.Min, 1)), most)
-	floor := max(ceil(float64(servers)*floorPart), min(2, servers))
-	spotWanted := ceil(float64(servers-floor) + float64(servers)*hedgePart)
-	spot := spread(spotWanted, domains, func(string) int { return scaling.Max })
+	maxServers := len(domains) * scaling.Max
+	servers := min(max(need.Servers, len(domains)*max(scaling.Min, 1)), maxServers)
+	onDemandBase := max(ceil(float64(servers)*onDemandFraction), min(2, servers))
+	spotCount := ceil(float64(servers-onDemandBase) + float64(servers)*spotHeadroom)
+	spot := distribute(spotCount, domains, func(string) int { return scaling.Max })
 	extra := 0
 	if !need.SpotPending {
-		ready := 0
+		running := 0
 		for _, domain := range domains {
-			ready += min(supply[domain].Spot, spot[domain])
+			running += min(supply[domain].Spot, spot[domain])
 		}
-		extra = max(servers-floor-ready, 0)
+		extra = max(servers-onDemandBase-running, 0)
 	}
-	onDemand := spread(floor+extra, domains, func(domain string) int { return scaling.Max - min(supply[domain].Spot, spot[domain]) })
+	onDemand := distribute(onDemandBase+extra, domains, func(domain string) int { return scaling.Max - min(supply[domain].Spot, spot[domain]) })
 	var out []duty.Order
 	for _, domain := range domains {
 		out = append(out,
@@ -103,8 +103,8 @@
 	return whole
 }
 
-// byPrice returns the failure domains, the cheapest first.
-func byPrice(scaling traffic.Scaling) []string {
+// domainsByPrice returns the failure domains, cheapest first.
+func domainsByPrice(scaling traffic.Scaling) []string {
 	domains := slices.Clone(scaling.SortedDomains)
 	slices.SortStableFunc(domains, func(a, b string) int {
 		return cmp.Compare(scaling.DomainPrices[a], scaling.DomainPrices[b])
@@ -112,14 +112,14 @@
 	return domains
 }
 
-// spread deals a number out one by one over the domains in their order, none
-// getting more than it has room for.
-func spread(count int, domains []string, room func(string) int) map[string]int {
+// distribute assigns count servers round-robin to the domains, none getting more
+// than its limit.
+func distribute(count int, domains []string, limit func(string) int) map[string]int {
 	out := make(map[string]int, len(domains))
 	for count > 0 {
 		before := count
 		for _, domain := range domains {
-			if count > 0 && out[domain] < room(domain) {
+			if count > 0 && out[domain] < limit(domain) {
 				out[domain]++
 				count--
 			}
--- a/src/capacity/provisioner.go
+++ b/src/capacity/provisioner.go
@@ -12,80 +12,79 @@
 	"github.com/crankridge/crankridge/src/traffic"
 )
 
-// Times of orders.
 const (
-	soldOutWait  = 1500 * time.Millisecond // before asking again for what could not be had
-	failedWait   = 500 * time.Millisecond  // after a call that failed
-	settleBeyond = 4 * time.Second         // beyond the boot time, before an order counts as not obeyed
+	noCapacityRetry = 1500 * time.Millisecond // retry interval when the domain has no capacity
+	errorRetry      = 500 * time.Millisecond  // retry interval after other errors
+	settleMargin    = 4 * time.Second         // time beyond boot after which an unfulfilled order is sent again
 )
 
-// Buyer sends the orders of the holder of the duty, each only when it differs
-// from what was ordered last or was not obeyed.
+// Provisioner sends orders for servers while it holds the lease. An order is
+// sent again only if its count changed, it failed, or it was not fulfilled.
 type Provisioner struct {
 	Lease  *duty.Lease
 	Sender duty.OrderSender
 	Now    func() time.Time
 
-	fence  int64
-	placed map[subject]placement
+	fence      int64
+	lastOrders map[orderKey]sentOrder
 }
 
-type subject struct {
+type orderKey struct {
 	service, domain string
 	spot            bool
 }
 
-type placement struct {
-	count int
-	at    time.Time
-	again time.Time // not before; zero when it was accepted
+type sentOrder struct {
+	count   int
+	sentAt  time.Time
+	retryAt time.Time // zero if the order was accepted
 }
 
-// Step sends the orders that are due for one service.
-func (b *Provisioner) Reconcile(ctx context.Context, scaling traffic.Scaling, orders []duty.Order, supply map[string]Supply) {
+// Reconcile sends the orders of one service that are due.
+func (p *Provisioner) Reconcile(ctx context.Context, scaling traffic.Scaling, orders []duty.Order, supply map[string]Supply) {
 	for _, o := range orders {
-		term, ok := b.Lease.Term()
+		term, ok := p.Lease.Term()
 		if !ok {
 			return
 		}
-		if b.fence != term.Fence {
-			// What an earlier holder ordered is not known.
-			b.fence, b.placed = term.Fence, map[subject]placement{}
+		if p.fence != term.Fence {
+			// The orders of the previous lease holder are unknown.
+			p.fence, p.lastOrders = term.Fence, map[orderKey]sentOrder{}
 		}
-		key := subject{o.Service, o.FailureDomain, o.Spot}
-		if b.due(b.placed[key], o, scaling, supply[o.FailureDomain]) {
-			b.placed[key] = b.send(ctx, term, o)
+		key := orderKey{o.Service, o.FailureDomain, o.Spot}
+		if p.due(p.lastOrders[key], o, scaling, supply[o.FailureDomain]) {
+			p.lastOrders[key] = p.send(ctx, term, o)
 		}
 	}
 }
 
-func (b *Provisioner) due(last placement, o duty.Order, scaling traffic.Scaling, have Supply) bool {
-	now := b.Now()
-	count := have.OnDemand
+func (p *Provisioner) due(last sentOrder, o duty.Order, scaling traffic.Scaling, supply Supply) bool {
+	now := p.Now()
+	count := supply.OnDemand
 	if o.Spot {
-		count = have.Spot
+		count = supply.Spot
 	}
 	switch {
-	case last.at.IsZero() || !last.again.IsZero():
-		return !now.Before(last.again)
+	case last.sentAt.IsZero() || !last.retryAt.IsZero():
+		return !now.Before(last.retryAt)
 	case last.count != o.Count:
 		return true
 	}
-	return count != o.Count && now.Sub(last.at) > scaling.Boot+settleBeyond
+	return count != o.Count && now.Sub(last.sentAt) > scaling.Boot+settleMargin
 }
 
-func (b *Provisioner) send(ctx context.Context, term duty.Term, o duty.Order) placement {
+func (p *Provisioner) send(ctx context.Context, term duty.Term, o duty.Order) sentOrder {
 	ctx, cancel := context.WithTimeout(ctx, duty.CallTimeout)
 	defer cancel()
-	began := b.Now()
-	err := b.Sender.OrderServers(ctx, term, o)
+	startedAt := p.Now()
+	err := p.Sender.OrderServers(ctx, term, o)
 	klog.InfoS("order", "service", o.Service, "failure_domain", o.FailureDomain, "count", o.Count, "spot", o.Spot, "fence", term.Fence, "err", err)
-	placed := placement{count: o.Count, at: b.Now()}
+	sent := sentOrder{count: o.Count, sentAt: p.Now()}
 	switch {
 	case errors.Is(err, ports.ErrNoCapacity):
-		placed.again = began.Add(soldOutWait)
+		sent.retryAt = startedAt.Add(noCapacityRetry)
 	case err != nil:
-		placed.again = began.Add(failedWait)
+		sent.retryAt = startedAt.Add(errorRetry)
 	}
-	return placed
+	return sent
 }
