--- a/src/route/route.go
+++ b/src/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses the upstream for a request. Its functions are pure:
-// candidates and a random source go in, a choice comes out.
+// Package route implements the load-balancing policies: given the candidate
+// upstreams and a random source, it chooses one for a request.
 package route
 
 import (
@@ -12,20 +12,19 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// Tunables of the choice.
 const (
-	homes       = 2    // candidates tried for the sake of the prefix
-	randoms     = 2    // candidates tried for the sake of the load
-	boundFactor = 1.25 // no candidate is loaded above this multiple of the mean
-	boundSlack  = 2.0  // requests allowed above the bound while the load is low
-	bytesPerTok = 5.0  // of prompt text, where tokens are not counted
-	meanTokens  = 128  // of an answer, to tell how long a slot stays taken
+	rendezvousSamples = 2    // candidates sampled by rendezvous hashing of the prefix
+	randomSamples     = 2    // candidates sampled at random
+	boundFactor       = 1.25 // maximum load of a candidate, as a multiple of the mean
+	boundSlack        = 2.0  // requests per candidate allowed above the bound, for leastLoaded loads
+	bytesPerToken     = 5.0  // estimate for prompt text
+	meanAnswerTokens  = 128  // estimate, determines how long a slot is in use
 )
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	PromptBytes int
-	Blocks      []uint64
+	Blocks      []uint64 // prefix block hashes
 	Avoid       map[string]bool
 	AvoidDomain map[string]bool
 }
@@ -36,10 +35,11 @@
 	TTFT time.Duration
 }
 
-// Policy is one way of choosing, so that ways can be measured side by side.
+// Policy is a load-balancing policy.
 type Policy string
 
-// The policies. Estimate is the product's; the others are its baselines.
+// The policies. Estimate is the default; the others are baselines for
+// comparison.
 const (
 	Estimate         Policy = "estimate"
 	Random           Policy = "random"
@@ -51,19 +51,19 @@
 // Policies lists all policies.
 var Policies = []Policy{Estimate, Random, RoundRobin, LeastOutstanding, TwoChoices}
 
-// Chooser holds the little state a policy needs.
+// Chooser applies a policy. It is not safe for concurrent use.
 type Chooser struct {
 	policy Policy
-	turn   uint64
+	next   uint64
 }
 
-// NewChooser returns a chooser of the given policy.
+// NewChooser returns a chooser for the given policy.
 func NewChooser(p Policy) *Chooser { return &Chooser{policy: p} }
 
-// Choose picks among the candidates; ok is false when none may be used. The
-// candidates are in order of name.
+// Choose chooses one of the candidates, which must be sorted by name. ok is
+// false if the request must avoid all of them.
 func (c *Chooser) Choose(cands []upstream.Candidate, r Request, rng *rand.Rand) (Choice, bool) {
-	cands = allowed(cands, r)
+	cands = withoutAvoided(cands, r)
 	if len(cands) == 0 {
 		return Choice{}, false
 	}
@@ -72,45 +72,45 @@
 	case Random:
 		pick = cands[rng.IntN(len(cands))]
 	case RoundRobin:
-		pick = cands[c.turn%uint64(len(cands))]
-		c.turn++
+		pick = cands[c.next%uint64(len(cands))]
+		c.next++
 	case LeastOutstanding:
-		pick = least(cands)
+		pick = leastOutstanding(cands)
 	case TwoChoices:
-		pick = least([]upstream.Candidate{cands[rng.IntN(len(cands))], cands[rng.IntN(len(cands))]})
+		pick = leastOutstanding([]upstream.Candidate{cands[rng.IntN(len(cands))], cands[rng.IntN(len(cands))]})
 	default:
-		return estimate(cands, r, rng), true
+		return lowestTTFT(cands, r, rng), true
 	}
 	return Choice{pick, EstimateTTFT(pick, r)}, true
 }
 
-// allowed drops what the request must avoid; a failure domain to avoid is
-// used all the same when nothing else is left.
-func allowed(cands []upstream.Candidate, r Request) []upstream.Candidate {
-	var out, second []upstream.Candidate
+// withoutAvoided removes the candidates the request must avoid. Candidates in a
+// failure domain to avoid are returned only if no others are left.
+func withoutAvoided(cands []upstream.Candidate, r Request) []upstream.Candidate {
+	var out, avoidedDomain []upstream.Candidate
 	for _, c := range cands {
 		switch {
 		case r.Avoid[c.Name]:
 		case r.AvoidDomain[c.FailureDomain]:
-			second = append(second, c)
+			avoidedDomain = append(avoidedDomain, c)
 		default:
 			out = append(out, c)
 		}
 	}
 	if len(out) == 0 {
-		return second
+		return avoidedDomain
 	}
 	return out
 }
 
-func least(cands []upstream.Candidate) upstream.Candidate {
+func leastOutstanding(cands []upstream.Candidate) upstream.Candidate {
 	return slices.MinFunc(cands, func(a, b upstream.Candidate) int { return a.OwnRequests - b.OwnRequests })
 }
 
-// estimate looks at the prefix's home candidates, at whoever is believed to
-// hold most of the prefix, and at random ones, and takes the one with the
-// least estimated time to first token among those under the bound.
-func estimate(cands []upstream.Candidate, r Request, rng *rand.Rand) Choice {
+// lowestTTFT samples candidates by rendezvous hashing of the prefix, by cached
+// blocks and at random, and returns the one with the lowest estimated time to
+// first token whose load is within the bound.
+func lowestTTFT(cands []upstream.Candidate, r Request, rng *rand.Rand) Choice {
 	bound := loadBound(cands)
 	best := Choice{TTFT: -1}
 	consider := func(c upstream.Candidate, bounded bool) {
@@ -122,20 +122,21 @@
 			best = Choice{c, t}
 		}
 	}
-	for _, i := range sample(cands, r, rng) {
+	for _, i := range sampleCandidates(cands, r, rng) {
 		consider(cands[i], true)
 	}
 	if best.TTFT >= 0 {
 		return best
 	}
-	// All of the sample is above the bound: the least loaded of all is not.
-	low := slices.MinFunc(cands, func(a, b upstream.Candidate) int {
+	// No sampled candidate was accepted: choose the least loaded of all, which
+	// is always within the bound.
+	leastLoaded := slices.MinFunc(cands, func(a, b upstream.Candidate) int {
 		if a.Busy/a.Slots < b.Busy/b.Slots {
 			return -1
 		}
 		return 1
 	})
-	return Choice{low, EstimateTTFT(low, r)}
+	return Choice{leastLoaded, EstimateTTFT(leastLoaded, r)}
 }
 
 func loadBound(cands []upstream.Candidate) float64 {
@@ -148,21 +149,21 @@
 	return mean*boundFactor + boundSlack/(slots/float64(len(cands)))
 }
 
-func sample(cands []upstream.Candidate, r Request, rng *rand.Rand) []int {
+func sampleCandidates(cands []upstream.Candidate, r Request, rng *rand.Rand) []int {
 	var out []int
 	if len(r.Blocks) > 0 {
-		out = append(out, prefixHomes(cands, r.Blocks[0])...)
+		out = append(out, rendezvousCandidates(cands, r.Blocks[0])...)
 		out = append(out, mostCached(cands))
 	}
-	for range randoms {
+	for range randomSamples {
 		out = append(out, rng.IntN(len(cands)))
 	}
 	return out
 }
 
-// prefixHomes are the candidates that rank first for a prefix by rendezvous,
-// the same on every node.
-func prefixHomes(cands []upstream.Candidate, block uint64) []int {
+// rendezvousCandidates returns the indices of the candidates that rank highest
+// for a prefix by rendezvous hashing. The result is the same on every node.
+func rendezvousCandidates(cands []upstream.Candidate, block uint64) []int {
 	type ranked struct {
 		i     int
 		score uint64
@@ -182,13 +183,13 @@
 		return 0
 	})
 	var out []int
-	for _, b := range best[:min(homes, len(best))] {
+	for _, b := range best[:min(rendezvousSamples, len(best))] {
 		out = append(out, b.i)
 	}
 	return out
 }
 
-// mix is the finalizer of MurmurHash3, which spreads every bit.
+// mix is the finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -207,50 +208,51 @@
 	return best
 }
 
-// blockBytes is the size of a prefix block, as package engine cuts them.
+// blockBytes is the size of a prefix block; it must match package engine.
 const blockBytes = 256
 
-// FirstToken estimates the time to first token at a candidate: the prompt
-// tokens ahead and its own uncached ones over the prefill rate, the wait for
-// a slot, and one decode step.
+// EstimateTTFT estimates the time to first token at a candidate: prefill of the
+// queued prompt tokens and of the request's uncached tokens, the wait for a
+// slot, and one decode step.
 func EstimateTTFT(c upstream.Candidate, r Request) time.Duration {
 	cached := float64(c.CachedBlocks*blockBytes) * c.CacheConfidence
-	own := max(float64(r.PromptBytes)-cached, 0) / bytesPerTok
+	own := max(float64(r.PromptBytes)-cached, 0) / bytesPerToken
 	seconds := (c.QueuedTokens + own) / c.PrefillTPS
-	if over := c.Busy + 1 - c.Slots; over > 0 {
-		hold := c.StepMS / 1000 * meanTokens
-		seconds += over / c.Slots * hold
+	if waiting := c.Busy + 1 - c.Slots; waiting > 0 {
+		slotSeconds := c.StepMS / 1000 * meanAnswerTokens
+		seconds += waiting / c.Slots * slotSeconds
 	}
 	seconds += c.StepMS / 1000
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Subset is the part of the upstreams that a node follows: size of them by
-// rendezvous with the node's name, spread over failure domains in turn.
-func Subset(names map[string]string, node string, size int) map[string]bool {
+// Subset returns the size upstreams that a node uses, chosen by rendezvous
+// hashing with the node's name and spread over the failure domains. domainOf
+// maps the names of all upstreams to their failure domains.
+func Subset(domainOf map[string]string, node string, size int) map[string]bool {
 	out := map[string]bool{}
-	if size <= 0 || size >= len(names) {
-		for name := range names {
+	if size <= 0 || size >= len(domainOf) {
+		for name := range domainOf {
 			out[name] = true
 		}
 		return out
 	}
 	byDomain := map[string][]string{}
-	for name, domain := range names {
+	for name, domain := range domainOf {
 		byDomain[domain] = append(byDomain[domain], name)
 	}
 	var domains []string
 	for d, list := range byDomain {
 		domains = append(domains, d)
 		slices.SortFunc(list, func(a, b string) int {
-			if score(a, node) > score(b, node) {
+			if rendezvousScore(a, node) > rendezvousScore(b, node) {
 				return -1
 			}
 			return 1
 		})
 	}
 	slices.SortFunc(domains, func(a, b string) int {
-		if score(a, node) > score(b, node) {
+		if rendezvousScore(a, node) > rendezvousScore(b, node) {
 			return -1
 		}
 		return 1
@@ -265,4 +267,4 @@
 	return out
 }
 
-func score(name, node string) uint64 { return mix(xxhash.Sum64String(name + "\x00" + node)) }
+func rendezvousScore(name, node string) uint64 { return mix(xxhash.Sum64String(name + "\x00" + node)) }
--- a/src/route/route_test.go
+++ b/src/route/route_test.go
@@ -11,7 +11,7 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-func candidates(t *rapid.T) []upstream.Candidate {
+func drawCandidates(t *rapid.T) []upstream.Candidate {
 	var out []upstream.Candidate
 	for i := range rapid.IntRange(1, 12).Draw(t, "candidates") {
 		out = append(out, upstream.Candidate{
@@ -23,45 +23,45 @@
 	return out
 }
 
-// No policy picks what is to be avoided; a failure domain to avoid is used
-// only when nothing else is left; and the bound on the load holds.
-func TestChoiceIsAllowedAndBounded(t *testing.T) {
+// No policy may choose a candidate to avoid, or one in a failure domain to avoid
+// while others are left. The estimate policy must respect the load bound.
+func TestChoiceAvoidsAndIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cands := candidates(t)
+		cands := drawCandidates(t)
 		r := Request{PromptBytes: 4000, Blocks: []uint64{rapid.Uint64().Draw(t, "block")}, Avoid: map[string]bool{}, AvoidDomain: map[string]bool{"d0": rapid.Bool().Draw(t, "domain")}}
 		for _, c := range cands {
 			r.Avoid[c.Name] = rapid.IntRange(0, 3).Draw(t, "avoid") == 0
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		free, outside := 0, 0
+		usable, preferred := 0, 0
 		for _, c := range cands {
 			if !r.Avoid[c.Name] {
-				free++
+				usable++
 				if !r.AvoidDomain[c.FailureDomain] {
-					outside++
+					preferred++
 				}
 			}
 		}
 		for _, p := range Policies {
 			choice, ok := NewChooser(p).Choose(cands, r, rng)
-			if ok != (free > 0) {
-				t.Fatalf("%s: ok %v with %d candidates", p, ok, free)
+			if ok != (usable > 0) {
+				t.Fatalf("%s: ok is %v with %d candidates", p, ok, usable)
 			}
 			if !ok {
 				continue
 			}
-			if r.Avoid[choice.Name] || r.AvoidDomain[choice.FailureDomain] && outside > 0 {
-				t.Fatalf("%s chose %s of %s", p, choice.Name, choice.FailureDomain)
+			if r.Avoid[choice.Name] || r.AvoidDomain[choice.FailureDomain] && preferred > 0 {
+				t.Fatalf("%s chose %s in %s, which must be avoided", p, choice.Name, choice.FailureDomain)
 			}
-			if p == Estimate && choice.Busy/choice.Slots > loadBound(allowed(cands, r)) {
-				t.Fatalf("load %v above the bound %v", choice.Busy/choice.Slots, loadBound(allowed(cands, r)))
+			if p == Estimate && choice.Busy/choice.Slots > loadBound(withoutAvoided(cands, r)) {
+				t.Fatalf("load %v above the bound %v", choice.Busy/choice.Slots, loadBound(withoutAvoided(cands, r)))
 			}
 		}
 	})
 }
 
-// A node follows as many upstreams as it is told, from all failure domains,
-// and the loss of one upstream changes little.
+// A subset has the requested size, covers all failure domains evenly, and the
+// loss of one upstream replaces only that one.
 func TestSubsetIsSpreadAndStable(t *testing.T) {
 	is := is.New(t)
 	all := map[string]string{}
@@ -89,20 +89,20 @@
 		}
 	}
 	is.Equal(kept, 23)
-	use := map[string]int{}
+	uses := map[string]int{}
 	for node := range 330 {
 		for name := range Subset(all, fmt.Sprint(node), 24) {
-			use[name]++
+			uses[name]++
 		}
 	}
-	is.True(len(use) == len(all)) // every upstream is followed by somebody
+	is.True(len(uses) == len(all)) // every upstream is used by some node
 }
 
-func TestFirstTokenFollowsItsParts(t *testing.T) {
+func TestEstimateTTFT(t *testing.T) {
 	is := is.New(t)
 	base := upstream.Candidate{Slots: 8, PrefillTPS: 1000, StepMS: 10}
 	r := Request{PromptBytes: 5000}
-	is.Equal(EstimateTTFT(base, r).Milliseconds(), int64(1010)) // 1000 tokens at 1000 a second, and one step
+	is.Equal(EstimateTTFT(base, r).Milliseconds(), int64(1010)) // 1000 tokens at 1000 per second, and one step
 	cached := base
 	cached.CachedBlocks, cached.CacheConfidence = 10, 1
 	is.True(EstimateTTFT(cached, r) < EstimateTTFT(base, r))
