--- a/src/plan/count.go
+++ b/src/plan/count.go
@@ -8,16 +8,17 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// engineVM is an engine the plan can count on.
+// engineVM is a running VM with an engine that is not leaving.
 type engineVM struct {
-	vm     ports.VM
-	model  string // loaded, loading or meant for
-	loaded bool
-	ours   bool
+	vm      ports.VM
+	model   string // loaded, loading or planned model; empty if idle
+	loaded  bool   // the configured version of model is loaded
+	managed bool   // bought by the planner
 }
 
-// count matches VMs, intents and engine states.
-func (b *builder) count() {
+// countServers matches VMs, intents and engine states, and counts the ready and
+// pending servers of each model.
+func (b *builder) countServers() {
 	seen := map[string]bool{}
 	for _, vm := range b.in.VMs {
 		if vm.Role != "engine" {
@@ -26,62 +27,62 @@
 		seen[vm.Name] = true
 		b.countVM(vm)
 	}
-	// A VM that the lagging list does not show yet is still coming.
+	// The VM list may lag behind: an unlisted VM counts as pending.
 	for _, i := range b.in.Intents {
 		if !seen[i.Name] && i.ReleaseMS == 0 {
 			b.out.Buy = append(b.out.Buy, i)
-			b.coming(i)
+			b.addPending(i)
 		}
 	}
 }
 
-func (b *builder) coming(i Intent) {
+func (b *builder) addPending(i Intent) {
 	if n := b.needs[i.Model]; n != nil {
 		n.Pending[i.Offer.FailureDomain]++
 	}
 }
 
 func (b *builder) countVM(vm ports.VM) {
-	intent, ours := b.intents[vm.Name]
-	orphan := !ours && hasPrefix(vm.Name, b.in.Params.Prefix)
+	intent, managed := b.intents[vm.Name]
+	orphan := !managed && hasVMPrefix(vm.Name, b.in.Params.Prefix)
 	switch {
 	case vm.State == ports.VMTerminated:
 		delete(b.intents, vm.Name)
 	case orphan:
-		// Bought by a planner that has lost its lease since; nobody wants it.
+		// Bought by a planner that has since lost its lease.
 		b.out.Terminate = append(b.out.Terminate, vm.Name)
 	case vm.State == ports.VMLeaving || intent.ReleaseMS > 0:
 	case vm.State == ports.VMBooting:
-		b.coming(intent)
+		b.addPending(intent)
 	default:
-		b.countRunning(vm, intent, ours)
+		b.countRunning(vm, intent, managed)
 	}
 }
 
-func hasPrefix(name, prefix string) bool {
+func hasVMPrefix(name, prefix string) bool {
 	return len(name) > len(prefix) && name[:len(prefix)] == prefix && name[len(prefix)] == '-'
 }
 
-func (b *builder) countRunning(vm ports.VM, intent Intent, ours bool) {
-	e := &engineVM{vm: vm, model: intent.Model, ours: ours}
+func (b *builder) countRunning(vm ports.VM, intent Intent, managed bool) {
+	e := &engineVM{vm: vm, model: intent.Model, managed: managed}
 	b.engines[vm.Name] = e
-	st, answered := b.in.Engines[vm.Name]
+	state, answered := b.in.Engines[vm.Name]
 	if !answered {
-		if ours {
-			b.coming(intent)
+		if managed {
+			b.addPending(intent)
 		}
 		return
 	}
-	if st.LeavingMS > 0 {
+	if state.LeavingMS > 0 {
 		delete(b.engines, vm.Name)
 		return
 	}
-	for _, m := range st.Models {
+	for _, m := range state.Models {
 		if n := b.needs[m.Name]; n != nil {
 			e.model, e.loaded = m.Name, m.Version == b.in.Catalog.Models[m.Name].Model.Version
 		}
 	}
-	for _, name := range st.Loading {
+	for _, name := range state.Loading {
 		if _, ok := b.needs[name]; ok && !e.loaded {
 			e.model = name
 		}
@@ -93,22 +94,23 @@
 	}
 	if e.loaded {
 		n.Ready[vm.FailureDomain]++
-		b.loadAdapters(e, st)
+		b.loadAdapters(e, state)
 		return
 	}
 	n.Pending[vm.FailureDomain]++
-	if !slices.Contains(st.Loading, e.model) {
+	if !slices.Contains(state.Loading, e.model) {
 		b.load(e, e.model)
 	}
 }
 
-// loadAdapters orders the adapters of the engine's model that it lacks.
-func (b *builder) loadAdapters(e *engineVM, st engine.State) {
+// loadAdapters orders the loading of the adapters that the engine's model has
+// and the engine does not.
+func (b *builder) loadAdapters(e *engineVM, state engine.State) {
 	for _, name := range slices.Sorted(maps.Keys(b.in.Catalog.Adapters)) {
 		a := b.in.Catalog.Adapters[name].Adapter
-		item := engine.LoadedModel{Name: name, Version: a.Version}
-		if a.Model == e.model && !slices.Contains(st.Models, item) && !slices.Contains(st.Loading, name) {
-			b.out.Load = append(b.out.Load, EngineOrder{e.vm.Name, e.vm.Address, item, a.Bytes})
+		adapter := engine.LoadedModel{Name: name, Version: a.Version}
+		if a.Model == e.model && !slices.Contains(state.Models, adapter) && !slices.Contains(state.Loading, name) {
+			b.out.Load = append(b.out.Load, EngineOrder{e.vm.Name, e.vm.Address, adapter, a.Bytes})
 		}
 	}
 }
--- a/src/plan/plan.go
+++ b/src/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan decides what runs where: a pure function from what is wished,
-// what is observed and the time to the next actions. It keeps nothing between
-// calls, so a new planner goes on where the old one stopped.
+// Package plan computes the actions that bring the observed VMs and engines
+// closer to the configured state. It keeps no state between calls, so any
+// planner can continue the work of another.
 package plan
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Intent is a VM the planner has decided to have. It is written down before
-// the VM is bought, so that a lost answer or a new planner buys no second one.
+// Intent is a VM the planner has decided to run. It is stored before the VM is
+// bought, so that a lost response or a new planner does not buy a second one.
 type Intent struct {
 	Name      string      `json:"name"`
 	Model     string      `json:"model"`
 	Offer     ports.Offer `json:"offer"`
 	SinceMS   int64       `json:"since"`
-	ReleaseMS int64       `json:"release,omitempty"` // from when it gets no work; 0 while wanted
+	ReleaseMS int64       `json:"release,omitempty"` // time from which the VM gets no new work; 0 if not released
 }
 
-// Input is all a plan depends on.
+// Input is the complete input of a plan.
 type Input struct {
 	Catalog *catalog.Snapshot
 	VMs     []ports.VM
 	Offers  []ports.Offer
-	Engines map[string]engine.State // by VM name, those that answered
+	Engines map[string]engine.State // by VM name; only engines that answered
 	Intents []Intent
-	Refused map[OfferKey]time.Time // when an offer was last refused
+	Refused map[OfferKey]time.Time // time of the last refusal of each offer
 	Now     time.Time
 	Params  Params
 }
@@ -36,7 +36,7 @@
 // Params are the planner's settings.
 type Params struct {
 	Prefix                string
-	MaxVMs                int // VMs bought at most
+	MaxVMs                int // limit of bought VMs
 	WeightsBytesPerSecond float64
 	BootTime              time.Duration
 	Margin                time.Duration
@@ -44,33 +44,33 @@
 	OnDemand              bool // buy on-demand VMs only
 }
 
-// OfferKey names an offer.
+// OfferKey identifies an offer.
 type OfferKey struct {
 	Class       string
 	Domain      string
 	Reclaimable bool
 }
 
-// KeyOf names an offer.
+// OfferKeyOf returns the key of an offer.
 func OfferKeyOf(o ports.Offer) OfferKey { return OfferKey{o.Class, o.FailureDomain, o.Reclaimable} }
 
 const (
-	refusedFor   = 5 * time.Second // a refused offer is not asked again sooner
-	releaseGrace = 30 * time.Second
-	hoursPerDay  = 24
-	lossCost     = 2.0 // hours of price that losing a VM costs at cost weight 0
+	refusalBackoff = 5 * time.Second  // time before a refused offer is tried again
+	releaseGrace   = 30 * time.Second // time between the release of a VM and its termination
+	hoursPerDay    = 24
+	lossCostDays   = 2.0 // cost of losing a VM at cost weight 0, in days of its price
 )
 
-// Actions are what to do next. All of them may be done again without harm.
+// Actions are the next steps of the planner. All of them are idempotent.
 type Actions struct {
-	Intents   []Intent // the whole list to be stored before anything else
+	Intents   []Intent // the complete list, to be stored before the other actions
 	Buy       []Intent
 	Terminate []string // VM names
 	Load      []EngineOrder
 	Unload    []EngineOrder
 }
 
-// Load is an order to an engine.
+// EngineOrder is an order to an engine to load or unload a model or adapter.
 type EngineOrder struct {
 	VM    string
 	Addr  string
@@ -84,48 +84,49 @@
 	Needs   map[string]*Need // by model
 }
 
-// Need is what a model needs and has.
+// Need holds the required and the existing servers of a model.
 type Need struct {
 	Model      string         `json:"model"`
-	Servers    int            `json:"servers"` // that must be left when any one failure domain is lost
+	Servers    int            `json:"servers"` // required even if any one failure domain is lost
 	Priority   int            `json:"priority"`
-	CostWeight float64        `json:"cost_weight"` // of cost against latency, 0 to 1
-	Ready      map[string]int `json:"ready"`       // by failure domain
-	Pending    map[string]int `json:"coming"`      // booting or loading, by failure domain
+	CostWeight float64        `json:"cost_weight"` // weight of cost against latency, 0 to 1
+	Ready      map[string]int `json:"ready"`       // servers with the model loaded, by failure domain
+	Pending    map[string]int `json:"coming"`      // servers booting or loading, by failure domain
 	Refused    []string       `json:"refused,omitempty"`
 }
 
-// Left is how many servers would be left if the worst failure domain were lost.
+// ServersAfterDomainLoss returns how many servers remain if the failure domain
+// with the most servers is lost. Without spread it returns the total.
 func ServersAfterDomainLoss(byDomain map[string]int, spread bool) int {
-	total, most := 0, 0
+	total, maxServers := 0, 0
 	for _, n := range byDomain {
 		total += n
-		most = max(most, n)
+		maxServers = max(maxServers, n)
 	}
 	if !spread {
 		return total
 	}
-	return total - most
+	return total - maxServers
 }
 
-// Lead is how long before its start an event is prepared.
+// LeadTime returns how long before its start the preparation of an event begins.
 func LeadTime(ev *catalog.Event, models map[string]catalog.Resource, p Params) time.Duration {
 	bytes := 0.0
 	for _, m := range ev.Models {
 		if r, ok := models[m.Name]; ok {
-			// One more domain's worth than needed is loaded, all through one store.
+			// One server more than needed is loaded, and all share the rate of one store.
 			bytes += float64(r.Model.Bytes) * float64(m.Servers+1)
 		}
 	}
 	return p.BootTime + time.Duration(bytes/p.WeightsBytesPerSecond*float64(time.Second)) + p.Margin
 }
 
-// Make makes the plan.
+// Compute computes the plan.
 func Compute(in Input) Result {
 	b := newBuilder(in)
-	b.count()
-	for _, need := range b.byPriority() {
-		b.fill(need)
+	b.countServers()
+	for _, need := range b.needsByPriority() {
+		b.addServers(need)
 	}
 	b.release()
 	b.finish()
@@ -155,8 +156,8 @@
 }
 
 func (b *builder) addEvent(ev *catalog.Event) {
-	lead := LeadTime(ev, b.in.Catalog.Models, b.in.Params)
-	if b.in.Now.Before(ev.Start.Add(-lead)) || !b.in.Now.Before(ev.End) {
+	leadTime := LeadTime(ev, b.in.Catalog.Models, b.in.Params)
+	if b.in.Now.Before(ev.Start.Add(-leadTime)) || !b.in.Now.Before(ev.End) {
 		return
 	}
 	for _, m := range ev.Models {
--- a/src/plan/plan_test.go
+++ b/src/plan/plan_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// settle carries out a plan as a perfect cloud would.
-func settle(in Input, r Result) Input {
+// applyPlan applies a plan as a cloud and engines without failures would.
+func applyPlan(in Input, r Result) Input {
 	in.Intents = r.Actions.Intents
 	gone := map[string]bool{}
 	for _, name := range r.Actions.Terminate {
@@ -82,63 +82,64 @@
 	return in
 }
 
-func settled(in Input) (Input, Result) {
+func converge(in Input) (Input, Result) {
 	r := Compute(in)
 	for range 6 {
-		in = settle(in, r)
+		in = applyPlan(in, r)
 		r = Compute(in)
 	}
 	return in, r
 }
 
-func TestAnyOneDomainMayGo(t *testing.T) {
+func TestNeedIsMetWithoutAnyOneDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 12).Draw(t, "servers")
 		domains := rapid.IntRange(2, 7).Draw(t, "domains")
-		in, r := settled(input(domains, model("m", servers)))
-		if left := ServersAfterDomainLoss(r.Needs["m"].Ready, true); left < servers {
-			t.Fatalf("%d of %d left", left, servers)
+		in, r := converge(input(domains, model("m", servers)))
+		if remaining := ServersAfterDomainLoss(r.Needs["m"].Ready, true); remaining < servers {
+			t.Fatalf("%d of %d servers remain", remaining, servers)
 		}
 		ideal := (servers*domains + domains - 2) / (domains - 1)
 		if len(in.VMs) > ideal+1 {
-			t.Fatalf("%d servers where %d suffice", len(in.VMs), ideal)
+			t.Fatalf("%d servers, %d are enough", len(in.VMs), ideal)
 		}
 	})
 }
 
-// The same input gives the same plan, and once all is there, nothing is done.
+// The same input gives the same plan, and a plan has no actions once the needs
+// are met.
 func TestPlanIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in, r := settled(input(rapid.IntRange(2, 5).Draw(t, "domains"), model("a", rapid.IntRange(0, 5).Draw(t, "a")), model("b", rapid.IntRange(0, 5).Draw(t, "b"))))
+		in, r := converge(input(rapid.IntRange(2, 5).Draw(t, "domains"), model("a", rapid.IntRange(0, 5).Draw(t, "a")), model("b", rapid.IntRange(0, 5).Draw(t, "b"))))
 		a := r.Actions
 		if len(a.Buy)+len(a.Terminate)+len(a.Load)+len(a.Unload) != 0 {
-			t.Fatalf("still acting: %+v", a)
+			t.Fatalf("actions after the needs are met: %+v", a)
 		}
 		if again := Compute(in); fmt.Sprint(again.Actions) != fmt.Sprint(a) {
-			t.Fatal("two plans of one input")
+			t.Fatal("different plans for the same input")
 		}
 	})
 }
 
-// One more server needed moves nothing that runs.
-func TestSmallChangeSmallMoves(t *testing.T) {
+// One more required server must not unload or terminate running servers.
+func TestSmallChangeKeepsRunningServers(t *testing.T) {
 	is := is.New(t)
-	in, _ := settled(input(3, model("a", 4), model("b", 4)))
+	in, _ := converge(input(3, model("a", 4), model("b", 4)))
 	before := len(in.VMs)
 	in.Catalog = snapshot(model("a", 5), model("b", 4))
 	r := Compute(in)
 	is.Equal(len(r.Actions.Unload), 0)
 	is.Equal(len(r.Actions.Terminate), 0)
 	is.True(len(r.Actions.Buy) <= 2)
-	_, r = settled(in)
+	_, r = converge(in)
 	is.True(len(r.Actions.Intents) <= before+2)
 }
 
-// A running model is never brought below its need for another of the same
-// priority, whatever is refused.
-func TestNeverBelowNeedForAnEqual(t *testing.T) {
+// A model must not lose servers to another model of the same priority, whatever
+// offers are refused.
+func TestNoPreemptionAtSamePriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in, _ := settled(input(3, model("a", rapid.IntRange(1, 4).Draw(t, "a"))))
+		in, _ := converge(input(3, model("a", rapid.IntRange(1, 4).Draw(t, "a"))))
 		in.Catalog = snapshot(model("a", in.Catalog.Models["a"].Model.Servers), model("b", rapid.IntRange(1, 6).Draw(t, "b")))
 		for _, o := range in.Offers {
 			if rapid.Bool().Draw(t, "refused") {
@@ -147,17 +148,17 @@
 		}
 		r := Compute(in)
 		if len(r.Actions.Unload) > 0 || ServersAfterDomainLoss(r.Needs["a"].Ready, true) < r.Needs["a"].Servers {
-			t.Fatalf("a lost servers: %+v", r.Actions)
+			t.Fatalf("model a lost servers: %+v", r.Actions)
 		}
 	})
 }
 
-func TestEventTakesFromLowerPriorityOnlyWhenRefused(t *testing.T) {
+func TestEventPreemptsLowerPriorityOnlyWhenOffersAreRefused(t *testing.T) {
 	is := is.New(t)
-	in, _ := settled(input(3, model("idle", 3), model("ride", 0)))
+	in, _ := converge(input(3, model("idle", 3), model("ride", 0)))
 	ev := catalog.Resource{Kind: catalog.KindEvent, Name: "e", Event: &catalog.Event{Start: in.Now, End: in.Now.Add(time.Hour), Models: []catalog.EventModel{{Name: "ride", Servers: 1}}}}
 	in.Catalog = snapshot(model("idle", 3), model("ride", 0), ev)
-	is.Equal(len(Compute(in).Actions.Unload), 0) // new VMs first
+	is.Equal(len(Compute(in).Actions.Unload), 0) // new VMs are bought first
 	for _, o := range in.Offers {
 		in.Refused[OfferKeyOf(o)] = in.Now
 	}
@@ -166,7 +167,7 @@
 	is.True(len(r.Needs["ride"].Refused) > 0)
 }
 
-func TestOneUsableDomainDoesNotRunAway(t *testing.T) {
+func TestSingleUsableDomainBuysOnlyTheNeed(t *testing.T) {
 	is := is.New(t)
 	in := input(2, model("m", 4))
 	for _, o := range in.Offers {
@@ -174,24 +175,24 @@
 			in.Refused[OfferKeyOf(o)] = in.Now.Add(time.Hour)
 		}
 	}
-	is.Equal(len(Compute(in).Actions.Buy), 4) // what is needed, though it cannot be spread
+	is.Equal(len(Compute(in).Actions.Buy), 4) // the need is met, but cannot be spread
 }
 
-func TestOrphansAreGivenBackAndLateListsBuyNothingTwice(t *testing.T) {
+func TestOrphansAreTerminatedAndUnlistedVMsAreNotBoughtTwice(t *testing.T) {
 	is := is.New(t)
 	in := input(3, model("m", 2))
 	first := Compute(in)
-	in.Intents = first.Actions.Intents // stored, bought, not listed yet
+	in.Intents = first.Actions.Intents // stored and bought, but not listed yet
 	again := Compute(in)
 	is.Equal(len(again.Actions.Intents), len(first.Actions.Intents))
 	in.VMs = []ports.VM{{Name: "cr-m-d0-old", FailureDomain: "d0", State: ports.VMRunning, Role: "engine"}}
 	is.Equal(Compute(in).Actions.Terminate, []string{"cr-m-d0-old"})
 }
 
-func TestPriceWeighsAgainstReclaims(t *testing.T) {
+func TestScoreWeighsPriceAgainstReclaims(t *testing.T) {
 	is := is.New(t)
-	cheap := ports.Offer{Reclaimable: true, HourPrice: 1, ReclaimPerDay: 1.5}
-	steady := ports.Offer{HourPrice: 3}
-	is.True(Score(cheap, 1) < Score(steady, 1)) // cost only
-	is.True(Score(cheap, 0) > Score(steady, 0)) // latency only
+	spot := ports.Offer{Reclaimable: true, HourPrice: 1, ReclaimPerDay: 1.5}
+	onDemand := ports.Offer{HourPrice: 3}
+	is.True(Score(spot, 1) < Score(onDemand, 1)) // cost only
+	is.True(Score(spot, 0) > Score(onDemand, 0)) // latency only
 }
--- a/src/plan/release.go
+++ b/src/plan/release.go
@@ -8,8 +8,8 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// release gives back bought VMs beyond what is needed: first out of use, then,
-// after a grace in which their streams end, terminated.
+// release releases bought VMs that are not needed, and terminates released VMs
+// after releaseGrace, in which their streams can end.
 func (b *builder) release() {
 	for _, i := range b.sortedIntents() {
 		if i.ReleaseMS == 0 {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	for _, n := range b.byPriority() {
+	for _, n := range b.needsByPriority() {
 		b.releaseSurplus(n)
 	}
 }
@@ -41,9 +41,9 @@
 			if i.Model != n.Model || i.ReleaseMS > 0 || e == nil || !e.loaded {
 				continue
 			}
-			without := maps.Clone(n.Ready)
-			without[i.Offer.FailureDomain]--
-			if ServersAfterDomainLoss(without, b.in.Params.SpreadDomains) >= n.Servers && (best == "" || i.Offer.HourPrice > b.intents[best].Offer.HourPrice) {
+			remaining := maps.Clone(n.Ready)
+			remaining[i.Offer.FailureDomain]--
+			if ServersAfterDomainLoss(remaining, b.in.Params.SpreadDomains) >= n.Servers && (best == "" || i.Offer.HourPrice > b.intents[best].Offer.HourPrice) {
 				best = i.Name
 			}
 		}
--- a/src/plan/status.go
+++ b/src/plan/status.go
@@ -8,12 +8,12 @@
 	"github.com/crankridge/crankridge/src/event"
 )
 
-const base = 36
+const nameBase = 36
 
-func base36(v int64) string { return strconv.FormatInt(v, base) }
+func base36(v int64) string { return strconv.FormatInt(v, nameBase) }
 
-// FactsOf gathers what an event's phase follows from.
-func EventFacts(ev catalog.Resource, in Input, res Result, servicesUp map[string]int) event.Facts {
+// EventFacts collects the facts that determine the phase of an event.
+func EventFacts(ev catalog.Resource, in Input, res Result, serversByService map[string]int) event.Facts {
 	e := ev.Event
 	f := event.Facts{Start: e.Start, End: e.End, Lead: LeadTime(e, in.Catalog.Models, in.Params), Now: in.Now}
 	for _, m := range e.Models {
@@ -27,15 +27,15 @@
 				f.Blocked = append(f.Blocked, "adapter "+a+" does not exist")
 			}
 		}
-		if left := ServersAfterDomainLoss(n.Ready, in.Params.SpreadDomains); left < n.Servers {
-			f.Missing = append(f.Missing, fmt.Sprintf("model %s: %d of %d servers would be left if a failure domain were lost", m.Name, max(left, 0), n.Servers))
+		if remaining := ServersAfterDomainLoss(n.Ready, in.Params.SpreadDomains); remaining < n.Servers {
+			f.Missing = append(f.Missing, fmt.Sprintf("model %s: %d of %d servers would be left if a failure domain were lost", m.Name, max(remaining, 0), n.Servers))
 			f.Blocked = append(f.Blocked, n.Refused...)
 		}
 	}
 	for _, s := range e.Services {
 		if _, ok := in.Catalog.Services[s]; !ok {
 			f.Blocked = append(f.Blocked, "service "+s+" does not exist")
-		} else if servicesUp[s] == 0 {
+		} else if serversByService[s] == 0 {
 			f.Missing = append(f.Missing, "service "+s+": no server")
 		}
 	}
