--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -19,15 +19,15 @@
 	"github.com/crankridge/crankridge/src/telemetry"
 )
 
-// Errors of the engine port.
+// Errors returned by Client, or used by its callers.
 var (
-	ErrConnect = errors.New("engine cannot be reached")       // nothing was sent
-	ErrRefused = errors.New("engine refused the request")     // it did not start
-	ErrBroken  = errors.New("engine's stream broke")          // resumable or to be continued elsewhere
-	ErrInvalid = errors.New("engine rejected the request")    // the caller's to mend
-	ErrUnknown = errors.New("engine does not know the id")    // stream or order target
-	ErrFenced  = errors.New("order carries an older epoch")   // another planner holds the lease
-	ErrStalled = errors.New("engine sends no tokens in time") // accepts, but makes no progress
+	ErrConnect = errors.New("cannot connect to engine")               // nothing was sent
+	ErrRefused = errors.New("engine refused the request")             // the request did not start
+	ErrBroken  = errors.New("engine stream interrupted")              // may be resumed, or continued on another engine
+	ErrInvalid = errors.New("engine rejected the request as invalid") // retrying does not help
+	ErrUnknown = errors.New("engine does not know the stream or model")
+	ErrFenced  = errors.New("order has a stale epoch") // another planner holds the lease
+	ErrStalled = errors.New("engine sent no tokens within the timeout")
 )
 
 const (
@@ -35,7 +35,7 @@
 	maxStateBytes = 4 << 20
 )
 
-// Token is one step of a stream. ID counts from 1 within the engine's stream.
+// Token is one event of a stream. ID counts from 1.
 type Token struct {
 	ID     int64
 	Text   string
@@ -43,15 +43,15 @@
 	Usage  *openai.Usage
 }
 
-// Client speaks to engines; it is shared by all of them.
+// Client calls the API of engines. One client serves all engines.
 type Client struct {
-	// Control counts the bytes of calls that carry no request: reports and orders.
-	Control telemetry.Traffic
-	stream  *http.Client
-	short   *http.Client
+	// Control counts the bytes of control calls: reports and orders.
+	Control       telemetry.Traffic
+	streamClient  *http.Client
+	controlClient *http.Client
 }
 
-// NewClient returns a client whose short calls end within timeout.
+// NewClient returns a client. timeout limits control calls only.
 func NewClient(dial, timeout time.Duration) *Client {
 	c := &Client{}
 	requests := &http.Transport{
@@ -60,21 +60,21 @@
 		IdleConnTimeout:     time.Minute,
 	}
 	control := &http.Transport{DialContext: c.Control.Dial(dial), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
-	c.stream = &http.Client{Transport: requests}
-	c.short = &http.Client{Transport: &conn.StallDetectingTransport{Transport: control}, Timeout: timeout}
+	c.streamClient = &http.Client{Transport: requests}
+	c.controlClient = &http.Client{Transport: &conn.StallDetectingTransport{Transport: control}, Timeout: timeout}
 	return c
 }
 
-// Meta is what an answer says of the engine itself.
+// Meta is the engine's state as reported in the headers of an answer.
 type Meta struct {
-	Started   bool // the engine took the request up
+	Started   bool // the engine accepted the request
 	Load      *Load
 	LeavingMS int64
 }
 
-// Open starts a stream. meta is called once, before the first token; each for
-// every token. It returns nil when the stream ended as it should.
-func (c *Client) Open(ctx context.Context, addr, id string, chat bool, body []byte, meta func(Meta), each func(Token) error) error {
+// Open starts a stream. onMeta is called once, before the first token; onToken
+// is called for every token. Open returns nil if the stream ended normally.
+func (c *Client) Open(ctx context.Context, addr, id string, chat bool, body []byte, onMeta func(Meta), onToken func(Token) error) error {
 	path := "/v1/completions"
 	if chat {
 		path = "/v1/chat/completions"
@@ -85,35 +85,35 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderRequestID, id)
-	return c.run(req, meta, each)
+	return c.readAnswer(req, onMeta, onToken)
 }
 
-// Resume takes up a stream after the token with ID after.
-func (c *Client) Resume(ctx context.Context, addr, id string, after int64, meta func(Meta), each func(Token) error) error {
+// Resume continues a stream after the token whose ID is after.
+func (c *Client) Resume(ctx context.Context, addr, id string, after int64, onMeta func(Meta), onToken func(Token) error) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/streams/"+id, nil)
 	if err != nil {
 		return oops.Wrapf(err, "engine request")
 	}
 	req.Header.Set("Last-Event-ID", strconv.FormatInt(after, 10))
-	return c.run(req, meta, each)
+	return c.readAnswer(req, onMeta, onToken)
 }
 
-func (c *Client) run(req *http.Request, meta func(Meta), each func(Token) error) error {
-	resp, err := c.stream.Do(req)
+func (c *Client) readAnswer(req *http.Request, onMeta func(Meta), onToken func(Token) error) error {
+	resp, err := c.streamClient.Do(req)
 	if err != nil {
 		return connectError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	m := metaOf(resp.Header)
+	m := parseMeta(resp.Header)
 	m.Started = resp.StatusCode == http.StatusOK
-	meta(m)
+	onMeta(m)
 	if resp.StatusCode != http.StatusOK {
 		return statusError(resp)
 	}
-	return readStream(resp.Body, each)
+	return readStream(resp.Body, onToken)
 }
 
-func readStream(body io.Reader, each func(Token) error) error {
+func readStream(body io.Reader, onToken func(Token) error) error {
 	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return oops.Wrapf(errors.Join(ErrBroken, err), "read stream")
@@ -121,18 +121,18 @@
 		if ev.Data == openai.Done {
 			return nil
 		}
-		tok, err := tokenOf(ev)
+		tok, err := decodeToken(ev)
 		if err != nil {
 			return err
 		}
-		if err := each(tok); err != nil {
+		if err := onToken(tok); err != nil {
 			return err
 		}
 	}
-	return oops.Wrapf(ErrBroken, "stream ended before its end mark")
+	return oops.Wrapf(ErrBroken, "stream ended without %s", openai.Done)
 }
 
-func tokenOf(ev sse.Event) (Token, error) {
+func decodeToken(ev sse.Event) (Token, error) {
 	var a openai.Answer
 	if err := json.Unmarshal([]byte(ev.Data), &a); err != nil {
 		return Token{}, oops.Wrapf(errors.Join(ErrBroken, err), "decode chunk")
@@ -155,7 +155,7 @@
 	return tok, nil
 }
 
-func metaOf(h http.Header) Meta {
+func parseMeta(h http.Header) Meta {
 	var m Meta
 	if raw := h.Get(HeaderLoad); len(raw) > len(LoadPrefix) {
 		var l Load
@@ -189,35 +189,36 @@
 	return oops.Wrapf(base, "engine answered %d: %.200s", resp.StatusCode, text)
 }
 
-// Cancel ends a stream; one that is unknown is not an error.
+// Cancel ends a stream. It is not an error if the engine does not know it.
 func (c *Client) Cancel(ctx context.Context, addr, id string) error {
-	err := c.do(ctx, http.MethodDelete, addr, "/v1/streams/"+id, nil, nil)
+	err := c.sendControl(ctx, http.MethodDelete, addr, "/v1/streams/"+id, nil, nil)
 	if errors.Is(err, ErrUnknown) {
 		return nil
 	}
 	return err
 }
 
-// State reads the engine's report, with cache events after the given one.
+// State returns the engine's report with the cache events after cacheAfter.
 func (c *Client) State(ctx context.Context, addr string, cacheAfter int64) (State, error) {
 	var s State
 	path := "/v1/state?cache_after=" + strconv.FormatInt(cacheAfter, 10)
-	return s, c.do(ctx, http.MethodGet, addr, path, nil, &s)
+	return s, c.sendControl(ctx, http.MethodGet, addr, path, nil, &s)
 }
 
-// Give sends an order; ErrFenced says that a newer planner gave one before.
+// SendOrder sends an order. It returns ErrFenced if the engine has received an
+// order of a newer planner.
 func (c *Client) SendOrder(ctx context.Context, addr string, o Order) error {
-	return c.do(ctx, http.MethodPost, addr, "/v1/orders", o, nil)
+	return c.sendControl(ctx, http.MethodPost, addr, "/v1/orders", o, nil)
 }
 
-// Pull makes the engine at addr import a stream's KV cache from another
-// engine. It may take until ctx ends.
+// ImportKV makes the engine at addr import a stream's KV cache from another
+// engine. It is limited by ctx only.
 func (c *Client) ImportKV(ctx context.Context, addr string, im Import) error {
-	return c.send(ctx, c.stream, http.MethodPost, addr, "/v1/kv/import", im, nil)
+	return c.send(ctx, c.streamClient, http.MethodPost, addr, "/v1/kv/import", im, nil)
 }
 
-func (c *Client) do(ctx context.Context, method, addr, path string, in, out any) error {
-	return c.send(ctx, c.short, method, addr, path, in, out)
+func (c *Client) sendControl(ctx context.Context, method, addr, path string, in, out any) error {
+	return c.send(ctx, c.controlClient, method, addr, path, in, out)
 }
 
 func (c *Client) send(ctx context.Context, hc *http.Client, method, addr, path string, in, out any) error {
--- a/src/engine/client_test.go
+++ b/src/engine/client_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func stream(tokens int, ended bool) string {
+func streamText(tokens int, ended bool) string {
 	var b strings.Builder
 	for i := range tokens {
 		fmt.Fprintf(&b, "id: %d\ndata: {\"id\":\"s\",\"object\":\"chat.completion.chunk\",\"created\":1,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\" word\"},\"finish_reason\":null}]}\n\n", i+1)
@@ -23,16 +23,16 @@
 func TestReadStream(t *testing.T) {
 	is := is.New(t)
 	var got []int64
-	take := func(tok Token) error { got = append(got, tok.ID); return nil }
-	is.NoErr(readStream(strings.NewReader(stream(3, true)), take))
+	collect := func(tok Token) error { got = append(got, tok.ID); return nil }
+	is.NoErr(readStream(strings.NewReader(streamText(3, true)), collect))
 	is.Equal(got, []int64{1, 2, 3})
-	is.True(errors.Is(readStream(strings.NewReader(stream(2, false)), take), ErrBroken)) // no end mark
-	is.True(errors.Is(readStream(strings.NewReader("data: {\n\n"), take), ErrBroken))
+	is.True(errors.Is(readStream(strings.NewReader(streamText(2, false)), collect), ErrBroken)) // no [DONE] event
+	is.True(errors.Is(readStream(strings.NewReader("data: {\n\n"), collect), ErrBroken))
 }
 
 func BenchmarkReadToken(b *testing.B) {
 	b.ReportAllocs()
-	body := strings.NewReader(stream(b.N, true))
+	body := strings.NewReader(streamText(b.N, true))
 	b.ResetTimer()
 	if err := readStream(body, func(Token) error { return nil }); err != nil {
 		b.Fatal(err)
--- a/src/engine/wire.go
+++ b/src/engine/wire.go
@@ -1,25 +1,24 @@
-// Package engine is the port to model engines. They speak the OpenAI API with
-// the extensions declared here; the load report on each answer is the
-// published ORCA header.
+// Package engine is a client of model engines. Their API is the OpenAI API with
+// the extensions declared here; answers carry an ORCA load report in a header.
 package engine
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers of the engines' API.
+// Headers of the engine API.
 const (
-	HeaderRequestID    = "X-Request-Id"          // names the stream at the engine
+	HeaderRequestID    = "X-Request-Id"          // ID of the stream
 	HeaderLoad         = "endpoint-load-metrics" // ORCA, JSON form
 	LoadPrefix         = "JSON "
-	HeaderLeaving      = "X-Leaving-Deadline-Ms" // Unix ms; present when the engine is leaving
+	HeaderLeaving      = "X-Leaving-Deadline-Ms" // Unix ms; set if the engine is leaving
 	HeaderPulledTokens = "X-Pulled-Tokens"
 )
 
-// State is an engine's report; it lags behind the truth and tells by how much.
+// State is an engine's report. It may be outdated; AtMS is the time it describes.
 type State struct {
 	Name         string        `json:"name"`
-	AtMS         int64         `json:"at_ms"` // Unix ms of the reading
+	AtMS         int64         `json:"at_ms"` // Unix ms
 	Models       []LoadedModel `json:"models"`
 	Loading      []string      `json:"loading"`
 	Running      int           `json:"running"`
@@ -27,27 +26,27 @@
 	QueuedTokens int           `json:"queued_tokens"` // prompt tokens not yet prefilled
 	Slots        int           `json:"slots"`
 	PrefillTPS   float64       `json:"prefill_tps"`
-	StepMS       float64       `json:"step_ms"` // time between two tokens of a stream
+	StepMS       float64       `json:"step_ms"` // time between tokens of a stream
 	LeavingMS    int64         `json:"leaving_ms"`
-	Epoch        int64         `json:"epoch"` // highest fencing token seen
+	Epoch        int64         `json:"epoch"` // highest epoch of an order received
 	CacheSeq     int64         `json:"cache_seq"`
 	Cache        []CacheEvent  `json:"cache,omitempty"`
 }
 
-// Loaded is a model or adapter that can be asked for.
+// LoadedModel is a model or adapter that is ready for requests.
 type LoadedModel struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// CacheEvent tells of one prefix block stored or evicted.
+// CacheEvent reports that a prefix block was cached or evicted.
 type CacheEvent struct {
 	Seq     int64  `json:"seq"`
 	Block   uint64 `json:"block"`
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// Load is the ORCA report on an answer.
+// Load is the ORCA load report of an answer.
 type Load struct {
 	Named struct {
 		AtMS         float64 `json:"at_ms"`
@@ -58,7 +57,7 @@
 	} `json:"named_metrics"`
 }
 
-// Order is a fenced command of the planner.
+// Order is a command of the planner, fenced by its epoch.
 type Order struct {
 	Epoch   int64  `json:"epoch"`
 	Op      string `json:"op"` // OpLoad or OpUnload
@@ -73,17 +72,17 @@
 	OpUnload = "unload"
 )
 
-// Import asks an engine to pull the KV cache of a stream from another.
+// Import asks an engine to import the KV cache of a stream from another engine.
 type Import struct {
 	Source string `json:"source"` // address, host:port
 	Stream string `json:"stream"`
 }
 
-// blockBytes is the grain at which prefixes are compared.
+// blockBytes is the size of a prefix block.
 const blockBytes = 256
 
-// Blocks returns the chained hashes of a prompt's whole blocks: two prompts
-// share a prefix of n blocks when their first n hashes are equal.
+// Blocks returns the chained hashes of the complete blocks of a prompt. Two
+// prompts share a prefix of n blocks if their first n hashes are equal.
 func Blocks(text string) []uint64 {
 	out := make([]uint64, 0, len(text)/blockBytes)
 	d := xxhash.New()
