--- a/src/traffic/config.go
+++ b/src/traffic/config.go
@@ -1,26 +1,26 @@
-// Package traffic holds what operators configure of the gateway: routes,
-// services, customers and limits, and the servers that run the services.
-// Its values are immutable once published; lookups are pure.
+// Package traffic defines the gateway's configuration: routes, services,
+// customers and limits, and the running servers of the services. Its values
+// must not be modified once they are in use.
 package traffic
 
 import "time"
 
-// Kind says how often a request of a route may run.
+// Kind determines how often a request of a route may run.
 type Kind int
 
-// The kinds of routes. A stream counts as once unless its route is resumable.
+// The kinds of routes. A stream is treated as Once unless its route is resumable.
 const (
-	Once       Kind = iota // at most one run for each attempt of a client
-	Repeatable             // may run more than once
-	Stream                 // answered by a series of events
+	Once       Kind = iota // runs at most once per client attempt
+	Repeatable             // idempotent: may run more than once
+	Stream                 // answered with an event stream
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	return [...]string{"once", "repeatable", "stream"}[k]
 }
 
-// Config is one version of all that operators configure.
+// Config is one version of the configuration.
 type Config struct {
 	Version   int64
 	Routes    []Route
@@ -35,35 +35,35 @@
 	Host         string
 	Prefix       string // begins and ends with a slash
 	Kind         Kind
-	Timeout      time.Duration // longest time a request is held
-	Objective    time.Duration // time within which an answer is wanted
-	GapObjective time.Duration // longest pause wanted between events of a stream
+	Timeout      time.Duration // maximum duration of a request
+	Objective    time.Duration // latency objective
+	GapObjective time.Duration // objective for the time between events of a stream
 	Priority     int           // 0 is the highest
 	Split        []WeightedService
-	MaxAttempts  int // most servers that may run one attempt of a client
+	MaxAttempts  int // maximum number of servers tried per client attempt
 	Public       bool
 	Sticky       bool
 	Resumable    bool
 }
 
-// MayRepeat tells whether a request of the route may run a second time.
+// Retryable reports whether a request of the route may run more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Share is one service of a route with its weight in the split.
+// WeightedService is a service of a route with its weight in the split.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Service is a set of equal servers.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	Engine         *Engine  // set for model engines
-	Scaling        *Scaling // set where servers can be ordered
+	Engine         *Engine  // nil if the servers are not model engines
+	Scaling        *Scaling // nil if no servers can be ordered
 }
 
 // Engine describes the model engines of a service.
@@ -76,27 +76,28 @@
 	KVHandleTTL time.Duration
 }
 
-// Scaling bounds the servers of a service in each failure domain.
+// Scaling configures the scaling of a service. Min and Max apply to each failure
+// domain.
 type Scaling struct {
 	Min, Max      int
 	Boot          time.Duration
-	SpotPrice     float64            // share of the on-demand price
+	SpotPrice     float64            // fraction of the on-demand price
 	DomainPrices  map[string]float64 // by failure domain
-	SortedDomains []string           // the keys of DomainPrices, sorted
+	SortedDomains []string           // sorted keys of DomainPrices
 }
 
-// Customer is who pays for requests, with its keys and its limit.
+// Customer is an organisation with its API keys and its rate limit.
 type Customer struct {
 	Name          string
 	Keys          []string
-	Priority      *int // goes before the route's
-	LimitsTokens  bool // the limit counts tokens, not requests
-	DefaultTokens int  // tokens of a request that names none
+	Priority      *int // overrides the priority of the route
+	LimitsTokens  bool // the rate limit counts tokens instead of requests
+	DefaultTokens int  // tokens counted for a request that does not state them
 	Rate          float64
 	Burst         float64
 }
 
-// Limits bound what clients may send.
+// Limits are the limits of client connections and requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -104,7 +105,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Upstream is one running server of a service.
+// Upstream is a running server of a service.
 type Upstream struct {
 	ID            string
 	Service       string
@@ -114,7 +115,7 @@
 	Slots         int
 	Draining      bool
 	Spot          bool
-	DrainTime     time.Duration // time until it is gone when draining; 0 if not told
-	WarmupTime    time.Duration
-	StartedMS     int64 // Unix milliseconds of its start; 0 if not told. Another value is another life
+	DrainTime     time.Duration // time until a draining server terminates; 0 if unknown
+	WarmupTime    time.Duration // remaining warm-up time
+	StartedMS     int64         // start time in Unix ms, changes with a restart; 0 if unknown
 }
--- a/src/traffic/headers.go
+++ b/src/traffic/headers.go
@@ -1,21 +1,21 @@
 package traffic
 
-// Headers names the headers that the gateway reads and sets. The names are
-// those of the platform, which gives them at start.
+// Headers holds the names of the headers that the gateway reads and sets. They
+// are defined by the platform.
 type Headers struct {
-	RequestID      string // of one attempt of a client; kept as it is
-	DeadlineMs     string // milliseconds left to the receiver
-	LastEventID    string // id of the last event that was received
-	Signature      string // a server's signature
+	RequestID      string // ID of a client attempt, forwarded unchanged
+	DeadlineMs     string // milliseconds left for the receiver
+	LastEventID    string // ID of the last event received
+	Signature      string // signature of a server
 	Customer       string
-	ExpectInstance string // id of the server that is meant
-	NotExecuted    string // a server says that it did not run the request
+	ExpectInstance string // ID of the intended server
+	NotExecuted    string // set by a server that did not run the request
 	Model          string
-	Tokens         string // tokens in, most tokens out
+	Tokens         string // input tokens and maximum output tokens
 	PromptParts    string
 	Priority       string
 	LengthHint     string
 	FetchFrom      string
 	ContinueFrom   string
-	Scheme         string // of the Authorization header, with its blank
+	Scheme         string // scheme of the Authorization header, with the space after it
 }
--- a/src/traffic/table.go
+++ b/src/traffic/table.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table answers lookups of one configuration.
+// Table indexes a configuration for lookups. It is immutable.
 type Table struct {
 	Config    Config
 	byHost    map[string][]*Route // longest prefix first
@@ -31,14 +31,15 @@
 		customer := &t.Config.Customers[i]
 		t.customers[customer.Name] = customer
 		for _, key := range customer.Keys {
-			// Hashed, so that the time of a lookup tells nothing of a key.
+			// Keys are hashed so that lookup times do not leak them.
 			t.byKey[sha256.Sum256([]byte(key))] = customer
 		}
 	}
 	return t
 }
 
-// Route returns the route of a host (a port is ignored) and path, or nil.
+// Route returns the route with the longest prefix that matches a host and path,
+// or nil. The port of the host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -51,19 +52,19 @@
 	return nil
 }
 
-// Keyed tells whether requests need a key at all.
+// RequiresKey reports whether requests need an API key.
 func (t *Table) RequiresKey() bool { return len(t.Config.Customers) > 0 }
 
-// CustomerOf returns the customer that holds the key, or nil.
+// CustomerByKey returns the customer with an API key, or nil.
 func (t *Table) CustomerByKey(key string) *Customer {
 	return t.byKey[sha256.Sum256([]byte(key))]
 }
 
-// Customer returns the customer of a name, or nil.
+// Customer returns the customer with a name, or nil.
 func (t *Table) Customer(name string) *Customer { return t.customers[name] }
 
-// Pick returns the service of a route for a request, by the weights of its
-// split. The same request id always gets the same service.
+// PickService returns the service for a request according to the weights of the
+// route's split. The choice depends on the request ID only.
 func (r *Route) PickService(requestID string) string {
 	total := 0
 	for _, s := range r.Split {
@@ -75,10 +76,10 @@
 		}
 		return ""
 	}
-	at := int(xxhash.Sum64String(requestID) % uint64(total))
+	point := int(xxhash.Sum64String(requestID) % uint64(total))
 	for _, s := range r.Split {
-		at -= max(s.Weight, 0)
-		if at < 0 {
+		point -= max(s.Weight, 0)
+		if point < 0 {
 			return s.Service
 		}
 	}
--- a/src/traffic/table_test.go
+++ b/src/traffic/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRouteIsTheLongestPrefixOfItsHost(t *testing.T) {
+func TestRouteMatchesLongestPrefixOfHost(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Config{Routes: []Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
@@ -28,7 +28,7 @@
 	is.Equal(name("c.example", "/x/"), "")
 }
 
-func TestSplitFollowsItsWeightsAndItsRequest(t *testing.T) {
+func TestSplitFollowsWeightsAndRequestID(t *testing.T) {
 	is := is.New(t)
 	r := Route{Split: []WeightedService{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := map[string]int{}
@@ -41,7 +41,7 @@
 	is.Equal(counts["none"], 0)
 }
 
-func TestCustomersByTheirKeys(t *testing.T) {
+func TestCustomerByKey(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Config{Customers: []Customer{{Name: "one", Keys: []string{"k1", "k2"}}}})
 	is.True(table.RequiresKey())
