--- a/src/event/status.go
+++ b/src/event/status.go
@@ -1,4 +1,4 @@
-// Package event owns the phases of an event and how one follows from another.
+// Package event determines the phase and the status of events.
 package event
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Prefix is where the statuses of events stand.
+// Prefix is the key prefix of event statuses.
 const Prefix = view.Prefix + "status/event/"
 
-// Phase is where an event stands.
+// Phase is the phase of an event.
 type Phase string
 
-// The phases. A degraded event says why and since when.
+// The phases of an event.
 const (
 	Scheduled Phase = "Scheduled"
 	Preparing Phase = "Preparing"
@@ -25,27 +25,27 @@
 	Ended     Phase = "Ended"
 )
 
-// Status is what operators see of an event.
+// Status is the status of an event as shown to operators.
 type Status struct {
 	Name    string    `json:"name"`
 	Phase   Phase     `json:"phase"`
 	Since   time.Time `json:"since"`
 	Reasons []string  `json:"reasons,omitempty"`
-	Version int64     `json:"version"` // of the event's resource
+	Version int64     `json:"version"` // version of the event's resource
 }
 
-// Facts are what a phase follows from.
+// Facts determine the phase of an event.
 type Facts struct {
 	Start, End time.Time
-	Lead       time.Duration // preparation begins so long before Start
-	Missing    []string      // what is not there yet, one reason each
-	Blocked    []string      // what cannot come without a change or is refused
+	Lead       time.Duration // time before Start at which preparation begins
+	Missing    []string      // reasons why the event is not ready yet
+	Blocked    []string      // reasons why it cannot become ready without a change
 	Now        time.Time
 }
 
-// PhaseOf derives the phase. What is missing is a matter of course while
-// there is time to prepare; from the start on, and when it is refused or
-// refers to nothing, the event is degraded.
+// PhaseOf returns the phase and the reasons for it. Missing servers degrade an
+// event from its start on; before that it is being prepared. Blocked reasons
+// degrade it at any time before its end.
 func PhaseOf(f Facts) (Phase, []string) {
 	switch {
 	case !f.Now.Before(f.End):
@@ -67,8 +67,8 @@
 	return InForce, nil
 }
 
-// Next is the status that follows old; changed is false when nothing an
-// operator sees has changed.
+// Next returns the new status of an event whose status was old. changed reports
+// whether its phase, reasons or version differ from old.
 func Next(old Status, name string, version int64, f Facts) (s Status, changed bool) {
 	phase, reasons := PhaseOf(f)
 	s = Status{Name: name, Phase: phase, Since: old.Since, Reasons: reasons, Version: version}
@@ -79,18 +79,18 @@
 	return s, !same
 }
 
-// Decode reads the stored form.
+// Decode decodes the stored form.
 func Decode(raw []byte) (Status, error) {
 	var s Status
 	err := json.Unmarshal(raw, &s)
 	return s, err
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form.
 func (s Status) Encode() []byte {
 	raw, err := json.Marshal(s)
 	if err != nil {
-		panic("a status cannot be encoded: " + err.Error())
+		panic("encode event status: " + err.Error())
 	}
 	return raw
 }
--- a/src/event/status_test.go
+++ b/src/event/status_test.go
@@ -7,37 +7,37 @@
 	"github.com/matryer/is"
 )
 
-func TestPhases(t *testing.T) {
+func TestPhaseOf(t *testing.T) {
 	start := time.Unix(10000, 0)
 	base := Facts{Start: start, End: start.Add(time.Hour), Lead: 10 * time.Minute}
-	missing, broken := []string{"two servers"}, []string{"the cloud refuses"}
+	missing, blocked := []string{"two servers"}, []string{"the cloud refuses"}
 	for _, c := range []struct {
-		name            string
-		at              time.Duration
-		missing, broken []string
-		want            Phase
+		name             string
+		at               time.Duration
+		missing, blocked []string
+		want             Phase
 	}{
 		{"long before", -time.Hour, missing, nil, Scheduled},
-		{"long before, refers to nothing", -time.Hour, nil, broken, Degraded},
+		{"long before, blocked", -time.Hour, nil, blocked, Degraded},
 		{"preparing", -5 * time.Minute, missing, nil, Preparing},
-		{"refused while preparing", -5 * time.Minute, missing, broken, Degraded},
+		{"preparing, blocked", -5 * time.Minute, missing, blocked, Degraded},
 		{"prepared", -5 * time.Minute, nil, nil, Ready},
 		{"started", 0, nil, nil, InForce},
-		{"started, not all there", time.Minute, missing, nil, Degraded},
-		{"over", time.Hour, missing, broken, Ended},
+		{"started, servers missing", time.Minute, missing, nil, Degraded},
+		{"over", time.Hour, missing, blocked, Ended},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := base
-			f.Now, f.Missing, f.Blocked = start.Add(c.at), c.missing, c.broken
+			f.Now, f.Missing, f.Blocked = start.Add(c.at), c.missing, c.blocked
 			got, reasons := PhaseOf(f)
 			is.Equal(got, c.want)
-			is.Equal(len(reasons) > 0, got == Degraded || got == Preparing) // it says why
+			is.Equal(len(reasons) > 0, got == Degraded || got == Preparing)
 		})
 	}
 }
 
-func TestSinceMovesWithThePhaseOnly(t *testing.T) {
+func TestSinceChangesWithPhaseOnly(t *testing.T) {
 	is := is.New(t)
 	f := Facts{Start: time.Unix(100, 0), End: time.Unix(200, 0), Now: time.Unix(150, 0), Missing: []string{"a"}}
 	first, changed := Next(Status{}, "e", 1, f)
