--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -21,10 +21,10 @@
 
 // Errors returned by Client, or used by its callers.
 var (
-	ErrConnect = errors.New("cannot connect to engine")               // nothing was sent
-	ErrRefused = errors.New("engine refused the request")             // the request did not start
-	ErrBroken  = errors.New("engine stream interrupted")              // may be resumed, or continued on another engine
-	ErrInvalid = errors.New("engine rejected the request as invalid") // retrying does not help
+	ErrConnect = errors.New("cannot connect to engine")    // nothing was sent
+	ErrRefused = errors.New("engine refused the request")  // the request did not start
+	ErrBroken  = errors.New("engine stream interrupted")   // may be resumed, or continued on another engine
+	ErrInvalid = errors.New("engine rejected the request") // retrying does not help
 	ErrUnknown = errors.New("engine does not know the stream or model")
 	ErrFenced  = errors.New("order has a stale epoch") // another planner holds the lease
 	ErrStalled = errors.New("engine sent no tokens within the timeout")
