--- a/src/serve/call.go
+++ b/src/serve/call.go
@@ -20,92 +20,91 @@
 )
 
 const (
-	callTries   = 4
-	callDial    = time.Second
-	idlePerHost = 64
+	maxCallAttempts     = 4
+	callDialTimeout     = time.Second
+	maxIdleConnsPerHost = 64
 )
 
-// Headers between the system and plain services.
+// Headers exchanged with plain services.
 const (
-	headerRequestKey = "Crankridge-Request-Key"
-	headerFencing    = "Crankridge-Fencing-Token"
-	headerNotStarted = "Crankridge-Not-Started"
+	headerRequestKey   = "Crankridge-Request-Key"
+	headerFencingToken = "Crankridge-Fencing-Token"
+	headerNotStarted   = "Crankridge-Not-Started"
 )
 
-// callSender sends service calls. Go's transport sends a request again by
-// itself when a reused connection fails and the request looks idempotent to
-// it. A call not repeatable therefore gets a connection of its own, has no
-// GetBody, and bears no Idempotency-Key.
+// callSender sends service calls. net/http silently resends a request it deems
+// idempotent when a reused connection fails, so a non-repeatable call is sent on
+// a new connection, without GetBody and without an Idempotency-Key header.
 type callSender struct {
-	reuse  *http.Client
-	once   *http.Client
-	answer int
+	pooled         *http.Client
+	singleUse      *http.Client
+	maxAnswerBytes int
 }
 
 func newCallSender(s settings.Entry) *callSender {
-	dial := conn.Dialer(callDial).DialContext
+	dial := conn.Dialer(callDialTimeout).DialContext
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	reuse := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute}
-	once := &http.Transport{DialContext: dial, DisableKeepAlives: true}
+	pooled := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: time.Minute}
+	singleUse := &http.Transport{DialContext: dial, DisableKeepAlives: true}
 	return &callSender{
-		reuse:  &http.Client{Transport: reuse, CheckRedirect: noRedirect},
-		once:   &http.Client{Transport: once, CheckRedirect: noRedirect},
-		answer: s.Limits.AnswerBytes,
+		pooled:         &http.Client{Transport: pooled, CheckRedirect: noRedirect},
+		singleUse:      &http.Client{Transport: singleUse, CheckRedirect: noRedirect},
+		maxAnswerBytes: s.Limits.AnswerBytes,
 	}
 }
 
-// hopHeaders are not passed on; the key headers are replaced by the system's own.
-var hopHeaders = []string{
+// strippedHeaders are removed from forwarded requests and answers. The caller's
+// key headers are replaced by Crankridge-Request-Key.
+var strippedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Authorization", "Idempotency-Key", "X-Idempotency-Key", "Content-Length",
 }
 
-// sendResult is what became of one send.
 type sendResult struct {
-	answer  request.Answer
-	reached bool  // a connection stood, so bytes may have arrived
-	refused bool  // the service said that it did not start
-	err     error // no whole answer came
+	answer     request.Answer
+	connected  bool  // the service may have received the request
+	notStarted bool  // the service did not start the call
+	err        error // no complete answer was received
 }
 
 func (s *callSender) send(ctx context.Context, addr string, call *Call, key string, token int64, repeatable bool) sendResult {
-	var reached atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached.Store(true) }})
+	var connected atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+addr+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
-		return sendResult{err: err, refused: true}
+		return sendResult{err: err, notStarted: true}
 	}
 	req.GetBody = nil
 	for name, values := range call.Header {
 		req.Header[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range strippedHeaders {
 		req.Header.Del(name)
 	}
 	req.Header.Set(headerRequestKey, key)
-	req.Header.Set(headerFencing, strconv.FormatInt(token, 10))
-	client := s.reuse
+	req.Header.Set(headerFencingToken, strconv.FormatInt(token, 10))
+	client := s.pooled
 	if !repeatable {
-		client = s.once
+		client = s.singleUse
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return sendResult{err: err, reached: reached.Load()}
+		return sendResult{err: err, connected: connected.Load()}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(s.answer)+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(s.maxAnswerBytes)+1))
 	if err != nil {
-		return sendResult{err: err, reached: true}
+		return sendResult{err: err, connected: true}
 	}
 	if resp.Header.Get(headerNotStarted) != "" {
-		return sendResult{refused: true, reached: true, err: fmt.Errorf("service refused: %d", resp.StatusCode)}
+		return sendResult{notStarted: true, connected: true, err: fmt.Errorf("service refused: %d", resp.StatusCode)}
 	}
-	return sendResult{reached: true, answer: s.toAnswer(resp, body)}
+	return sendResult{connected: true, answer: s.toAnswer(resp, body)}
 }
 
 func (s *callSender) toAnswer(resp *http.Response, body []byte) request.Answer {
-	if len(body) > s.answer {
-		return request.Failed(http.StatusBadGateway, codeTooLarge, fmt.Sprintf("the service's answer is larger than %d bytes", s.answer))
+	if len(body) > s.maxAnswerBytes {
+		return request.Failed(http.StatusBadGateway, codeAnswerTooLarge, fmt.Sprintf("the service's answer is larger than %d bytes", s.maxAnswerBytes))
 	}
 	a := request.Answer{Outcome: request.Completed, Status: resp.StatusCode, Body: body, Header: http.Header{}}
 	if resp.StatusCode >= http.StatusInternalServerError {
@@ -114,78 +113,78 @@
 	for name, values := range resp.Header {
 		a.Header[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range strippedHeaders {
 		a.Header.Del(name)
 	}
 	return a
 }
 
-// call runs a service call: at most one send when it is not repeatable, more
-// within the retry budget when it is, or while no byte has gone out.
-func (c *Coordinator) call(ctx context.Context, f *request.Flight, a Request) request.Answer {
+// call sends a service call and retries it within the retry budget. A
+// non-repeatable call is retried only while no server can have started it.
+func (c *Coordinator) call(ctx context.Context, f *request.Flight, req Request) request.Answer {
 	avoid := map[string]bool{}
 	sent := false
-	var last error
-	for try := range callTries {
-		if try > 0 && !c.mayRetry(ctx, try) {
+	var lastErr error
+	for try := range maxCallAttempts {
+		if try > 0 && !c.backOffForRetry(ctx, try) {
 			break
 		}
-		up, ok := c.chooseService(a.Call.Service, avoid)
+		up, ok := c.chooseServer(req.Call.Service, avoid)
 		if !ok {
 			break
 		}
 		if try == 0 && !c.Attempts.Send(f.Attempt, c.Now()) {
-			return yielded()
+			return yieldedAnswer()
 		}
 		c.Metrics.AddedLatency(c.Now().Sub(f.StartedAt))
-		c.explain.Add(f.Key, "called", "server "+up.Name+" in "+up.FailureDomain)
+		c.decisions.Add(f.Key, "called", "server "+up.Name+" in "+up.FailureDomain)
 		end := c.Registry.Begin(up.Name, 0, nil)
-		res := c.calls.send(ctx, up.Addr, a.Call, a.Key, c.fencing(f), a.Repeatable)
+		res := c.calls.send(ctx, up.Addr, req.Call, req.Key, c.fencingToken(f), req.Repeatable)
 		end()
 		if res.err == nil {
 			c.Registry.RecordSuccess(up.Name)
 			return res.answer
 		}
-		last = res.err
-		c.explain.Add(f.Key, "call failed", fmt.Sprintf("%s: %v", up.Name, res.err))
-		if !res.refused {
-			c.Registry.RecordFailure(up.Name, !res.reached)
+		lastErr = res.err
+		c.decisions.Add(f.Key, "call failed", fmt.Sprintf("%s: %v", up.Name, res.err))
+		if !res.notStarted {
+			c.Registry.RecordFailure(up.Name, !res.connected)
 		}
-		sent = sent || res.reached && !res.refused
+		sent = sent || res.connected && !res.notStarted
 		avoid[up.Name] = true
-		if sent && !a.Repeatable {
+		if sent && !req.Repeatable {
 			return request.Indeterminate(codeUpstreamLost, "the service was lost while it may have run the call", 0)
 		}
 	}
-	return c.callGivenUp(ctx, f, a, sent, last)
+	return c.callFailure(ctx, f, req, sent, lastErr)
 }
 
-func (c *Coordinator) mayRetry(ctx context.Context, try int) bool {
-	if !c.budget.Spend() {
+func (c *Coordinator) backOffForRetry(ctx context.Context, try int) bool {
+	if !c.retryBudget.Spend() {
 		return false
 	}
-	pause(ctx, request.Jitter(tryBackoff<<try))
+	sleep(ctx, request.Jitter(minBackoff<<try))
 	return ctx.Err() == nil
 }
 
-func (c *Coordinator) callGivenUp(ctx context.Context, f *request.Flight, a Request, sent bool, last error) request.Answer {
+func (c *Coordinator) callFailure(ctx context.Context, f *request.Flight, req Request, sent bool, lastErr error) request.Answer {
 	if ctx.Err() != nil {
-		return c.ended(f, a)
+		return c.interruptedAnswer(f, req)
 	}
 	if sent {
-		return request.Indeterminate(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", a.Call.Service, last), request.Jitter(retryShard))
+		return request.Indeterminate(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", req.Call.Service, lastErr), request.Jitter(shardRetryAfter))
 	}
-	return request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+a.Call.Service+" takes calls just now", request.Jitter(retryShard))
+	return request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+req.Call.Service+" takes calls just now", request.Jitter(shardRetryAfter))
 }
 
-func (c *Coordinator) chooseService(service string, avoid map[string]bool) (upstream.Candidate, bool) {
+func (c *Coordinator) chooseServer(service string, avoid map[string]bool) (upstream.Candidate, bool) {
 	cands := c.Registry.ServiceCandidates(service)
 	choice, ok := route.NewChooser(route.LeastOutstanding).Choose(cands, route.Request{Avoid: avoid, AvoidDomain: c.Registry.LeavingDomains()}, nil)
 	return choice.Candidate, ok
 }
 
-// fencing is the epoch of the key's shard, for services that check it.
-func (c *Coordinator) fencing(f *request.Flight) int64 {
+// fencingToken returns the epoch of the key's shard, or 0 without a shard map.
+func (c *Coordinator) fencingToken(f *request.Flight) int64 {
 	m := c.Shards()
 	if m == nil {
 		return 0
--- a/src/serve/claims.go
+++ b/src/serve/claims.go
@@ -13,126 +13,128 @@
 )
 
 const (
-	claimRounds  = 6
-	claimBackoff = 10 * time.Millisecond
-	retryShard   = 2 * time.Second
-	retryFate    = 2 * time.Second
+	maxClaimRounds    = 6
+	claimBackoff      = 10 * time.Millisecond
+	shardRetryAfter   = 2 * time.Second
+	outcomeRetryAfter = 2 * time.Second
 )
 
-// claimResult is what became of a claim: granted, an answer, or a holder to follow.
+// claimResult is a granted claim, an answer, or the holder to follow.
 type claimResult struct {
-	granted bool
-	first   bool // no earlier attempt can have been sent
-	answer  *request.Answer
-	holder  claim.Attempt
-	place   *claim.Attempt // a lost coordinator's stream that may live on
+	granted    bool
+	neverSent  bool // no earlier attempt can have been sent
+	answer     *request.Answer
+	holder     claim.Attempt
+	resumeFrom *claim.Attempt // stream of a lost coordinator that may still run
 }
 
-// rival is another attempt that held the key and no longer does.
-type rival struct {
+// lostAttempt is an earlier attempt that the next claim round supersedes.
+type lostAttempt struct {
 	claim.Attempt
-	released bool // its coordinator said that it was not sent
+	released bool // its coordinator confirmed that it was not sent
 }
 
-// claimKey makes this flight's attempt the holder of its key, or finds out who is.
-func (c *Coordinator) claimKey(ctx context.Context, f *request.Flight, a Request) claimResult {
+// claimKey claims the flight's key for its attempt, or finds the attempt that holds it.
+func (c *Coordinator) claimKey(ctx context.Context, f *request.Flight, req Request) claimResult {
 	var superseded []string
-	first := true
-	var place *claim.Attempt
-	for round := range claimRounds {
+	neverSent := true
+	var resumeFrom *claim.Attempt
+	for round := range maxClaimRounds {
 		if round > 0 {
-			pause(ctx, request.Jitter(claimBackoff<<round))
+			sleep(ctx, request.Jitter(claimBackoff<<round))
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		// Looked at anew each round: the shard may have lost its records since.
+		// Checked every round: the shard may have lost its records since the last one.
 		m := c.Shards()
-		if r := c.tooOld(a, m); r != nil {
+		if r := c.refuseUnknownHistory(req, m); r != nil {
 			return claimResult{answer: r}
 		}
-		tally := c.askKeepers(ctx, m, f, a, superseded)
+		tally := c.requestVotes(ctx, m, f, req, superseded)
 		switch tally.Decide() {
 		case claim.Granted:
 			c.Metrics.Claim("granted")
-			return claimResult{granted: true, first: first, place: place}
+			return claimResult{granted: true, neverSent: neverSent, resumeFrom: resumeFrom}
 		case claim.Contested:
-			res, lost := c.meetRivals(ctx, f, a, tally)
+			res, lost := c.resolveHolders(ctx, f, req, tally)
 			if res != nil {
 				return *res
 			}
 			for _, l := range lost {
-				first = first && l.released
+				neverSent = neverSent && l.released
 				superseded = append(superseded, l.ID)
 				if l.Engine != "" {
-					place = &l.Attempt
+					resumeFrom = &l.Attempt
 				}
 			}
 		case claim.Outdated:
 			c.Metrics.Claim("outdated")
-			c.waitNewer(ctx, m)
+			c.waitForNewerMap(ctx, m)
 		default:
-			if a.Repeatable {
+			if req.Repeatable {
 				c.Metrics.Claim("unavailable")
-				return claimResult{granted: true, place: place}
+				return claimResult{granted: true, resumeFrom: resumeFrom}
 			}
 		}
 	}
 	c.Metrics.Claim("unavailable")
-	if a.Repeatable {
-		return claimResult{granted: true, place: place}
+	if req.Repeatable {
+		return claimResult{granted: true, resumeFrom: resumeFrom}
 	}
-	return claimResult{answer: c.noKeepers(f)}
+	return claimResult{answer: c.keepersUnavailable(f)}
 }
 
-// noKeepers refuses a request whose shard cannot grant claims now.
-func (c *Coordinator) noKeepers(f *request.Flight) *request.Answer {
-	c.explain.Add(f.Key, "refused", "no two keepers of its shard answered")
+// keepersUnavailable refuses a request whose shard cannot grant claims.
+func (c *Coordinator) keepersUnavailable(f *request.Flight) *request.Answer {
+	c.decisions.Add(f.Key, "refused", "no two keepers of its shard answered")
 	r := request.Refused(http.StatusServiceUnavailable, codeNoKeepers,
-		"requests not repeatable cannot be taken for this key just now; nothing was sent", request.Jitter(retryShard))
+		"requests not repeatable cannot be taken for this key just now; nothing was sent", request.Jitter(shardRetryAfter))
 	return &r
 }
 
-// tooOld refuses keys whose records are gone, or may be: older than the
-// window, or possibly used before the shard lost its records.
-func (c *Coordinator) tooOld(a Request, m *claim.Map) *request.Answer {
-	if a.Repeatable {
+// refuseUnknownHistory refuses a non-repeatable request whose records may be
+// missing: its key is older than the claim window, or may have been used before
+// its shard lost its records.
+func (c *Coordinator) refuseUnknownHistory(req Request, m *claim.Map) *request.Answer {
+	if req.Repeatable {
 		return nil
 	}
 	now := c.Now()
-	issued, ok := request.IssuedAt(a.Key)
+	issued, ok := request.IssuedAt(req.Key)
 	if ok && now.Sub(issued) > c.Settings.Claims.Window {
 		r := request.Indeterminate(codeKeyExpired, "this key is older than the time for which records are kept; use a new key once you know the request's fate", 0)
 		return &r
 	}
-	if m == nil || a.FirstUse {
+	if m == nil || req.FirstUse {
 		return nil
 	}
-	floor := time.UnixMilli(m.Shards[claim.ShardOf(request.FullKey(a.Customer, a.Key), len(m.Shards))].RecordsLostMS)
-	if until := floor.Add(c.Settings.Claims.Window); now.Before(until) {
-		r := request.Indeterminate(codeRecordsLost, "the records of this key's shard were lost with two of their keepers; an earlier try may have run", request.Jitter(until.Sub(now)))
+	lostAt := time.UnixMilli(m.Shards[claim.ShardOf(request.FullKey(req.Customer, req.Key), len(m.Shards))].RecordsLostMS)
+	if expires := lostAt.Add(c.Settings.Claims.Window); now.Before(expires) {
+		r := request.Indeterminate(codeRecordsLost, "the records of this key's shard were lost with two of their keepers; an earlier try may have run", request.Jitter(expires.Sub(now)))
 		return &r
 	}
 	return nil
 }
 
-// askKeepers sends one round of claims and returns as soon as it is decided.
-func (c *Coordinator) askKeepers(ctx context.Context, m *claim.Map, f *request.Flight, a Request, superseded []string) *claim.Tally {
+// requestVotes sends the claim to all keepers of its shard and returns once the
+// vote is decided.
+func (c *Coordinator) requestVotes(ctx context.Context, m *claim.Map, f *request.Flight, req Request, superseded []string) *claim.Tally {
 	if m == nil {
 		return &claim.Tally{Required: claim.Majority}
 	}
 	shard := claim.ShardOf(f.Key, len(m.Shards))
 	def := m.Shards[shard]
 	msg := claim.Claim{
-		Shard: shard, Epoch: def.Epoch, Key: f.Key, Digest: f.Digest, Attempt: c.attempt(f), Repeatable: a.Repeatable, Superseded: superseded,
+		Shard: shard, Epoch: def.Epoch, Key: f.Key, Digest: f.Digest, Attempt: c.claimAttempt(f), Repeatable: req.Repeatable, Superseded: superseded,
 	}
-	t := &claim.Tally{Asked: len(def.Keepers), Required: c.need(def)}
-	// The last keeper's copy still matters when the request has ended, so the
-	// calls are not called off with it.
+	t := &claim.Tally{Asked: len(def.Keepers), Required: c.requiredVotes(def)}
+	// Not cancelled with the request: the remaining keepers should still store
+	// the claim.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Settings.Claims.Timeout)
 	replies := make(chan *claim.Reply, len(def.Keepers))
 	for _, k := range def.Keepers {
-		go func() { replies <- c.askKeeper(ctx, k, msg) }()
+		go func() { replies <- c.requestVote(ctx, k, msg) }()
 	}
 	for range def.Keepers {
 		t.Add(<-replies)
@@ -144,20 +146,20 @@
 	return t
 }
 
-func (c *Coordinator) need(def claim.Shard) int {
+func (c *Coordinator) requiredVotes(def claim.Shard) int {
 	if c.Settings.Claims.SingleNode {
 		return min(claim.Majority, len(def.Keepers))
 	}
 	return claim.Majority
 }
 
-func (c *Coordinator) attempt(f *request.Flight) claim.Attempt {
+func (c *Coordinator) claimAttempt(f *request.Flight) claim.Attempt {
 	engine, stream := f.Location()
 	return claim.Attempt{ID: f.Attempt, Node: c.Self.Name, Incarnation: c.Self.Incarnation, Addr: c.Self.Addr, Engine: engine, Stream: stream}
 }
 
-// askKeeper sends one claim; nil stands for no answer.
-func (c *Coordinator) askKeeper(ctx context.Context, k claim.Node, msg claim.Claim) *claim.Reply {
+// requestVote sends the claim to one keeper. It returns nil if the call fails.
+func (c *Coordinator) requestVote(ctx context.Context, k claim.Node, msg claim.Claim) *claim.Reply {
 	if k.Name == c.Self.Name && k.Incarnation == c.Self.Incarnation {
 		r := c.Ledger.Vote(msg, c.Now())
 		return &r
@@ -171,10 +173,11 @@
 	return &r
 }
 
-// meetRivals asks the coordinators of the attempts that hold the key. It
-// returns a result, or the attempts that the next round supersedes.
-func (c *Coordinator) meetRivals(ctx context.Context, f *request.Flight, a Request, t *claim.Tally) (*claimResult, []rival) {
-	repeatable := a.Repeatable
+// resolveHolders resolves a contested claim from the holders' records and by
+// asking their coordinators. It returns a result, or the attempts that the next
+// round supersedes.
+func (c *Coordinator) resolveHolders(ctx context.Context, f *request.Flight, req Request, t *claim.Tally) (*claimResult, []lostAttempt) {
+	repeatable := req.Repeatable
 	for _, h := range t.Holders {
 		if string(h.Digest) != string(f.Digest) {
 			return &claimResult{answer: keyReused()}, nil
@@ -183,63 +186,64 @@
 		if len(h.Answer) > 0 {
 			if r, err := request.DecodeAnswer(h.Answer); err == nil {
 				c.Metrics.Claim("answered")
-				c.replay(f, &r)
+				c.replayTokens(f, &r)
 				return &claimResult{answer: &r}, nil
 			}
 		}
 	}
-	var lost []rival
+	var lost []lostAttempt
 	for _, r := range t.Rivals(f.Attempt) {
-		switch state := c.inquire(ctx, r, f.Attempt); {
+		switch state := c.attemptState(ctx, r, f.Attempt); {
 		case state == claim.Released:
-			lost = append(lost, rival{r, true})
+			lost = append(lost, lostAttempt{r, true})
 		case state == claim.Claiming || state == claim.Sent || state == claim.Done:
 			c.Metrics.Claim("attached")
-			// This attempt will never be sent; the rival may count on it.
+			// The holder may rely on this attempt never being sent.
 			c.Attempts.Release(f.Attempt, c.Now())
 			return &claimResult{holder: r}, nil
 		case repeatable:
-			lost = append(lost, rival{r, false})
+			lost = append(lost, lostAttempt{r, false})
 		default:
 			c.Metrics.Claim("unsure")
 			c.Attempts.Release(f.Attempt, c.Now())
-			u := c.unsure(f, r)
+			u := c.coordinatorLost(f, r)
 			return &claimResult{answer: &u}, nil
 		}
 	}
 	return nil, lost
 }
 
-func (c *Coordinator) unsure(f *request.Flight, rival claim.Attempt) request.Answer {
-	c.explain.Add(f.Key, "may-have-run", "its coordinator "+rival.Node+" is silent")
-	return request.Indeterminate(codeCoordinatorLost, fmt.Sprintf("an earlier try was taken by node %s, which does not answer; ask again by the same key for its fate", rival.Node), request.Jitter(retryFate))
+func (c *Coordinator) coordinatorLost(f *request.Flight, holder claim.Attempt) request.Answer {
+	c.decisions.Add(f.Key, "may-have-run", "its coordinator "+holder.Node+" is silent")
+	return request.Indeterminate(codeCoordinatorLost, fmt.Sprintf("an earlier try was taken by node %s, which does not answer; ask again by the same key for its fate", holder.Node), request.Jitter(outcomeRetryAfter))
 }
 
-// replay puts a kept answer's tokens into the flight.
-func (c *Coordinator) replay(f *request.Flight, r *request.Answer) {
-	_, have := f.Delivered()
+// replayTokens moves the tokens of a stored answer that the flight lacks into it.
+func (c *Coordinator) replayTokens(f *request.Flight, r *request.Answer) {
+	_, delivered := f.Delivered()
 	for i, tok := range r.Tokens {
-		if i >= have {
+		if i >= delivered {
 			f.Append(tok)
 		}
 	}
 	r.Tokens = nil
 }
 
-// inquire asks what became of an attempt. Unknown means that nobody can tell.
-func (c *Coordinator) inquire(ctx context.Context, rival claim.Attempt, own string) claim.State {
-	if rival.Node == c.Self.Name && rival.Incarnation == c.Self.Incarnation {
-		// One node has one flight a key, so an earlier attempt of its own has
-		// ended; only that it was never sent is worth knowing.
-		if state := c.Attempts.Yield(rival.ID, own, c.Now()); state == claim.Released {
+// attemptState asks the coordinator of another attempt for its state. It returns
+// claim.Unknown if the state cannot be determined.
+func (c *Coordinator) attemptState(ctx context.Context, other claim.Attempt, own string) claim.State {
+	if other.Node == c.Self.Name && other.Incarnation == c.Self.Incarnation {
+		// A node has at most one flight per key, so its earlier attempt has
+		// ended. All that matters is whether it was released unsent.
+		if state := c.Attempts.Yield(other.ID, own, c.Now()); state == claim.Released {
 			return state
 		}
 		return claim.Unknown
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Settings.Claims.Timeout)
 	defer cancel()
-	resp, err := c.Pool.Client(rival.Addr).Inquire(ctx, &peer.InquireRequest{Attempt: rival.ID, Incarnation: rival.Incarnation, Asker: own})
-	c.Fleet.RecordCall(rival.Addr, err == nil)
+	resp, err := c.Pool.Client(other.Addr).Inquire(ctx, &peer.InquireRequest{Attempt: other.ID, Incarnation: other.Incarnation, Asker: own})
+	c.Fleet.RecordCall(other.Addr, err == nil)
 	if err != nil {
 		return claim.Unknown
 	}
@@ -254,12 +258,13 @@
 	return claim.Unknown
 }
 
-// tellKeepers sends a settlement to all keepers; the channel closes once one has it.
-func (c *Coordinator) tellKeepers(f *request.Flight, s *peer.SettleRequest) <-chan struct{} {
-	told := make(chan struct{})
+// broadcastSettle sends a settlement to all keepers of the key. The returned
+// channel is closed when the first of them has applied it.
+func (c *Coordinator) broadcastSettle(f *request.Flight, s *peer.SettleRequest) <-chan struct{} {
+	applied := make(chan struct{})
 	m := c.Shards()
 	if m == nil {
-		return told
+		return applied
 	}
 	shard := claim.ShardOf(f.Key, len(m.Shards))
 	s.Shard, s.Key, s.Attempt = int32(shard), f.Key, f.Attempt
@@ -275,10 +280,10 @@
 					return
 				}
 			}
-			once.Do(func() { close(told) })
+			once.Do(func() { close(applied) })
 		}()
 	}
-	return told
+	return applied
 }
 
 func (c *Coordinator) applySettle(s *peer.SettleRequest) {
@@ -289,15 +294,15 @@
 	c.Ledger.Settle(int(s.Shard), s.Key, s.Attempt, s.Released, s.Answer)
 }
 
-// waitNewer waits a moment for a shard map newer than m.
-func (c *Coordinator) waitNewer(ctx context.Context, m *claim.Map) {
+// waitForNewerMap waits for the shard map m to be replaced, up to the claim timeout.
+func (c *Coordinator) waitForNewerMap(ctx context.Context, m *claim.Map) {
 	deadline := time.Now().Add(c.Settings.Claims.Timeout)
 	for c.Shards() == m && time.Now().Before(deadline) && ctx.Err() == nil {
-		pause(ctx, claimBackoff)
+		sleep(ctx, claimBackoff)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/src/serve/codes.go
+++ b/src/serve/codes.go
@@ -1,6 +1,6 @@
 package serve
 
-// Codes of the errors told to callers; docs/OPERATING.md explains each.
+// Error codes returned to callers; docs/OPERATING.md describes each.
 const (
 	codeNodeFull        = "node_full"
 	codeKeyReused       = "key_reused"
@@ -16,11 +16,11 @@
 	codeNoUpstream      = "no_upstream"
 	codeOverload        = "overload"
 	codeUpstreamLost    = "upstream_lost"
-	codeStalled         = "upstream_stalled"
-	codeInvalid         = "invalid_request"
-	codeBudget          = "retry_budget"
-	codeTooLarge        = "answer_too_large"
+	codeUpstreamStalled = "upstream_stalled"
+	codeInvalidRequest  = "invalid_request"
+	codeRetryBudget     = "retry_budget"
+	codeAnswerTooLarge  = "answer_too_large"
 )
 
-// statusCancelled is the customary status of a request its caller gave up.
-const statusCancelled = 499
+// statusClientClosedRequest is the non-standard status for a request cancelled by its caller.
+const statusClientClosedRequest = 499
--- a/src/serve/completion.go
+++ b/src/serve/completion.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	tryBackoff  = 20 * time.Millisecond
-	backoffMost = time.Second
-	startTries  = 6
-	finishLen   = "length"
-	// stallsMost engines that give no first token are enough: the request is
-	// not held until its deadline.
-	stallsMost   = 3
-	retryStalled = 2 * time.Second
+	minBackoff       = 20 * time.Millisecond
+	maxBackoff       = time.Second
+	maxStartAttempts = 6
+	finishLength     = "length"
+	// maxStalls bounds the engines tried that return no first token.
+	maxStalls       = 3
+	stallRetryAfter = 2 * time.Second
 )
 
 // Causes of recomputed tokens.
@@ -32,171 +31,173 @@
 	causeYield    = "yield"
 )
 
-// run is one completion on its way; it belongs to one goroutine.
-type run struct {
-	c     *Coordinator
-	f     *request.Flight
-	a     Request
-	req   *openai.Request
-	tries int
-	cause string // why the next stream continues an earlier one
-	begun bool   // the attempt is marked as sent
-	sent  bool   // something may have reached an engine
-	usage *openai.Usage
-	base  int // tokens delivered before the present stream
-	last  time.Time
-	avoid map[string]bool
-	wait  time.Duration
+// completionRun is the state of one completion request across its streams.
+type completionRun struct {
+	coord          *Coordinator
+	flight         *request.Flight
+	req            Request
+	completion     *openai.Request
+	tries          int
+	recomputeCause string // metric label: why tokens of an earlier stream are recomputed
+	markedSent     bool   // the attempt is recorded as sent
+	sent           bool   // an engine may have received the request
+	usage          *openai.Usage
+	baseTokens     int // tokens delivered before the current stream
+	lastTokenAt    time.Time
+	avoid          map[string]bool
+	backoff        time.Duration
 
-	stalls int // engines that took the request and gave no token
+	stalls int // engines that accepted the request but returned no token
 
-	pause   chan struct{} // closed when an event in force needs the place
-	paused  bool
-	finish  string
-	prefer  string // engine that holds the moved KV cache
-	resumed int    // tokens of the present stream at its last resumption
+	preempt         chan struct{} // closed when an active event needs the engine slot
+	preempted       bool
+	finishReason    string
+	preferredEngine string // engine that holds the moved KV cache
+	tokensAtResume  int    // tokens of the current stream when it was last resumed
 }
 
-// complete runs a completion to its end, over as many engines as it takes.
-func (c *Coordinator) complete(ctx context.Context, f *request.Flight, a Request, place *claim.Attempt) request.Answer {
-	r := &run{c: c, f: f, a: a, req: a.Completion, avoid: map[string]bool{}}
-	if place != nil {
-		if answer, ok := r.takeOver(ctx, place); ok {
+// complete runs a completion to its end, moving between engines as needed.
+func (c *Coordinator) complete(ctx context.Context, f *request.Flight, req Request, resumeFrom *claim.Attempt) request.Answer {
+	r := &completionRun{coord: c, flight: f, req: req, completion: req.Completion, avoid: map[string]bool{}}
+	if resumeFrom != nil {
+		if answer, ok := r.takeOver(ctx, resumeFrom); ok {
 			return answer
 		}
 	}
-	_, had := f.Delivered()
+	_, delivered := f.Delivered()
 	for ctx.Err() == nil {
-		g, refusal := r.next(ctx, had)
+		slot, refusal := r.nextSlot(ctx, delivered)
 		if refusal != nil {
 			return *refusal
 		}
-		if !r.begin() {
-			g.end()
-			return yielded()
+		if !r.markSent() {
+			slot.release()
+			return yieldedAnswer()
 		}
-		err := r.stream(ctx, g)
-		g.end()
-		if answer, over := r.judge(ctx, g.Name, err); over {
+		err := r.runStream(ctx, slot)
+		slot.release()
+		if answer, ended := r.handleStreamEnd(ctx, slot.Name, err); ended {
 			return answer
 		}
 	}
-	return c.ended(f, a)
+	return c.interruptedAnswer(f, req)
 }
 
-// begin marks the attempt as sent, once; false when it gave way to another.
-func (r *run) begin() bool {
-	if !r.begun {
-		r.begun = r.c.Attempts.Send(r.f.Attempt, r.c.Now())
+// markSent records the attempt as sent. It returns false if the attempt yielded to
+// another one by the same key.
+func (r *completionRun) markSent() bool {
+	if !r.markedSent {
+		r.markedSent = r.coord.Attempts.Send(r.flight.Attempt, r.coord.Now())
 	}
-	return r.begun
+	return r.markedSent
 }
 
-// next finds the engine for the next stream: by the queue for a request that
-// has not begun, directly for one that moves.
-func (r *run) next(ctx context.Context, had int) (granted, *request.Answer) {
-	if r.tries == 0 && had == 0 || r.paused {
-		r.paused = false
-		g, refusal := r.c.acquire(ctx, r.f, r.a)
+// nextSlot reserves an engine for the next stream. New and preempted requests go
+// through the queue; a request that changes engines does not.
+func (r *completionRun) nextSlot(ctx context.Context, delivered int) (engineSlot, *request.Answer) {
+	if r.tries == 0 && delivered == 0 || r.preempted {
+		r.preempted = false
+		slot, refusal := r.coord.acquireSlot(ctx, r.flight, r.req)
 		r.tries++
-		return g, refusal
+		return slot, refusal
 	}
 	r.tries++
-	given, _ := r.f.Delivered()
-	text := r.req.PromptText() + given
-	w := &waiter{text: len(text), blocks: engine.Blocks(text)}
+	prefix, _ := r.flight.Delivered()
+	text := r.completion.PromptText() + prefix
+	w := &waiter{promptBytes: len(text), blocks: engine.Blocks(text)}
 	for ctx.Err() == nil {
-		r.c.lanes.mu.Lock()
-		g, ok := r.c.lanes.place(r.req.Model, w, r.avoid, r.prefer)
-		r.c.lanes.mu.Unlock()
+		r.coord.queues.mu.Lock()
+		slot, ok := r.coord.queues.reserve(r.completion.Model, w, r.avoid, r.preferredEngine)
+		r.coord.queues.mu.Unlock()
 		if ok {
-			r.prefer = ""
-			return g, nil
+			r.preferredEngine = ""
+			return slot, nil
 		}
 		clear(r.avoid)
-		if !r.sent && r.tries > startTries {
+		if !r.sent && r.tries > maxStartAttempts {
 			break
 		}
 		r.backOff(ctx)
 	}
 	if ctx.Err() != nil {
-		answer := r.c.ended(r.f, r.a)
-		return granted{}, &answer
+		answer := r.coord.interruptedAnswer(r.flight, r.req)
+		return engineSlot{}, &answer
 	}
-	answer := request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no engine took the request", request.Jitter(retryNoModel))
-	return granted{}, &answer
+	answer := request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no engine took the request", request.Jitter(noEngineRetryAfter))
+	return engineSlot{}, &answer
 }
 
-func (r *run) backOff(ctx context.Context) {
-	r.wait = min(max(r.wait*2, tryBackoff), backoffMost)
-	pause(ctx, request.Jitter(r.wait))
+func (r *completionRun) backOff(ctx context.Context) {
+	r.backoff = min(max(r.backoff*2, minBackoff), maxBackoff)
+	sleep(ctx, request.Jitter(r.backoff))
 }
 
 var (
-	// errMoved ends a stream that continues elsewhere.
+	// errMoved ends a stream that continues on another engine or after preemption.
 	errMoved = errors.New("stream moved")
-	// errLong ends a stream whose text has reached the bound of an answer.
-	errLong = errors.New("answer is as long as it may be")
+	// errAnswerLimit ends a stream whose text exceeds the answer size limit.
+	errAnswerLimit = errors.New("answer size limit exceeded")
 )
 
-// judge decides what follows the end of a stream.
-func (r *run) judge(ctx context.Context, name string, err error) (request.Answer, bool) {
-	_, n := r.f.Delivered()
+// handleStreamEnd returns the answer and true, or false if the request needs
+// another stream.
+func (r *completionRun) handleStreamEnd(ctx context.Context, engineName string, err error) (request.Answer, bool) {
+	_, tokens := r.flight.Delivered()
 	switch {
-	case err == nil || n >= r.req.MaxTokens:
-		r.c.Registry.RecordSuccess(name)
-		return r.done(n), true
-	case errors.Is(err, errLong):
-		r.cancelEverywhere()
-		return r.done(n), true
+	case err == nil || tokens >= r.completion.MaxTokens:
+		r.coord.Registry.RecordSuccess(engineName)
+		return r.completedAnswer(tokens), true
+	case errors.Is(err, errAnswerLimit):
+		r.cancelCurrentStream()
+		return r.completedAnswer(tokens), true
 	case errors.Is(err, errMoved):
 		return request.Answer{}, false
 	case ctx.Err() != nil:
-		if r.c.ending.Err() == nil {
-			r.cancelEverywhere()
+		if r.coord.baseCtx.Err() == nil {
+			r.cancelCurrentStream()
 		}
-		return r.c.ended(r.f, r.a), true
+		return r.coord.interruptedAnswer(r.flight, r.req), true
 	case errors.Is(err, engine.ErrInvalid):
-		return request.Answer{Outcome: request.NotRun, Status: http.StatusBadRequest, Code: codeInvalid, Message: err.Error()}, true
+		return request.Answer{Outcome: request.NotRun, Status: http.StatusBadRequest, Code: codeInvalidRequest, Message: err.Error()}, true
 	}
-	r.c.Registry.RecordFailure(name, errors.Is(err, engine.ErrConnect))
-	r.avoid[name] = true
-	r.cause = causeFailure
-	r.c.explain.Add(r.f.Key, "stream broke", fmt.Sprintf("engine %s after %d tokens: %v", name, n, err))
+	r.coord.Registry.RecordFailure(engineName, errors.Is(err, engine.ErrConnect))
+	r.avoid[engineName] = true
+	r.recomputeCause = causeFailure
+	r.coord.decisions.Add(r.flight.Key, "stream broke", fmt.Sprintf("engine %s after %d tokens: %v", engineName, tokens, err))
 	unsent := errors.Is(err, engine.ErrConnect) || errors.Is(err, engine.ErrRefused) || errors.Is(err, engine.ErrUnknown)
 	if !unsent {
 		r.sent = true
 	}
-	if !r.a.Repeatable && r.sent && !r.wasLeaving(name) {
+	if !r.req.Repeatable && r.sent && !r.isLeaving(engineName) {
 		return request.Indeterminate(codeUpstreamLost, "the engine was lost while it ran the request", 0), true
 	}
-	if n == 0 && errors.Is(err, engine.ErrStalled) {
+	if tokens == 0 && errors.Is(err, engine.ErrStalled) {
 		r.stalls++
 	}
-	if r.stalls >= stallsMost {
-		return request.Indeterminate(codeStalled, "several engines took the request and gave no token in time", request.Jitter(retryStalled)), true
+	if r.stalls >= maxStalls {
+		return request.Indeterminate(codeUpstreamStalled, "several engines took the request and gave no token in time", request.Jitter(stallRetryAfter)), true
 	}
-	if n == 0 && !r.c.budget.Spend() {
-		return r.giveUp(), true
+	if tokens == 0 && !r.coord.retryBudget.Spend() {
+		return r.retryBudgetExhausted(), true
 	}
 	r.backOff(ctx)
 	return request.Answer{}, false
 }
 
-func (r *run) giveUp() request.Answer {
+func (r *completionRun) retryBudgetExhausted() request.Answer {
 	if r.sent {
-		return request.Indeterminate(codeBudget, "the engine was lost and this node's retries are used up", request.Jitter(time.Second))
+		return request.Indeterminate(codeRetryBudget, "the engine was lost and this node's retries are used up", request.Jitter(time.Second))
 	}
-	return request.Refused(http.StatusServiceUnavailable, codeBudget, "no engine could be reached and this node's retries are used up", request.Jitter(time.Second))
+	return request.Refused(http.StatusServiceUnavailable, codeRetryBudget, "no engine could be reached and this node's retries are used up", request.Jitter(time.Second))
 }
 
-func (r *run) done(n int) request.Answer {
-	a := request.Answer{Outcome: request.Completed, Status: http.StatusOK, Model: r.req.Model, Created: r.f.StartedAt.Unix(), Finish: r.finish}
+func (r *completionRun) completedAnswer(tokens int) request.Answer {
+	a := request.Answer{Outcome: request.Completed, Status: http.StatusOK, Model: r.completion.Model, Created: r.flight.StartedAt.Unix(), Finish: r.finishReason}
 	if a.Finish == "" {
-		a.Finish = finishLen
+		a.Finish = finishLength
 	}
 	if r.usage != nil {
-		a.Prompt = r.usage.PromptTokens - r.base
+		a.Prompt = r.usage.PromptTokens - r.baseTokens
 		a.Cached = min(r.usage.PromptDetails.CachedTokens, a.Prompt)
 	}
 	return a
--- a/src/serve/coordinator.go
+++ b/src/serve/coordinator.go
@@ -1,5 +1,5 @@
-// Package serve carries requests: it is the coordinator that claims, admits,
-// routes, streams, moves and settles them, and the keeper's side of claims.
+// Package serve implements the request coordinator, which claims, admits, routes,
+// streams, moves and settles requests, and the keeper RPCs that store claims.
 package serve
 
 import (
@@ -26,30 +26,31 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// Ask is one request as it came from a caller, checked and with its customer.
+// Request is a validated request of a caller.
 type Request struct {
 	Customer    string
 	Target      catalog.Target
-	Key         string // the caller's or issued; without the customer
-	FirstUse    bool   // issued for this very request, or said by the caller to be its first try
-	KeyProvided bool   // the caller gave the key
+	Key         string // provided by the caller or issued, without the customer
+	FirstUse    bool   // the key was issued for this request, or the caller marked it as its first try
+	KeyProvided bool   // the key is the caller's, not issued
 	Repeatable  bool
 	Digest      []byte
 	Deadline    time.Time
-	Completion  *openai.Request // one of the two is set
+	Completion  *openai.Request // exactly one of Completion and Call is set
 	Call        *Call
 }
 
-// Call is a call of a plain service.
+// Call is an HTTP call to a plain service.
 type Call struct {
 	Service string
 	Method  string
-	Path    string // with query
+	Path    string // including the query
 	Header  map[string][]string
 	Body    []byte
 }
 
-// Coordinator serves the requests of one node.
+// Coordinator serves the requests received by one node. Its exported fields must be
+// set before Start.
 type Coordinator struct {
 	Self     claim.Node
 	Settings settings.Entry
@@ -63,72 +64,72 @@
 	Limiter  *admit.Limiter
 	Now      func() time.Time
 
-	catalog  atomic.Pointer[catalog.Snapshot]
-	shards   atomic.Pointer[claim.Map]
-	budget   *request.Budget
-	calls    *callSender
-	lanes    lanes
-	choosers choosers
-	explain  *telemetry.Journal
-
-	mu      sync.Mutex
-	flights map[string]*request.Flight
-	open    atomic.Int64
-	ending  context.Context
-	end     context.CancelFunc
+	catalog     atomic.Pointer[catalog.Snapshot]
+	shards      atomic.Pointer[claim.Map]
+	retryBudget *request.Budget
+	calls       *callSender
+	queues      modelQueues
+	router      router
+	decisions   *telemetry.Journal
+
+	mu         sync.Mutex
+	flights    map[string]*request.Flight
+	inProgress atomic.Int64
+	baseCtx    context.Context
+	cancelBase context.CancelFunc
 }
 
-// choosers guards the route policy's state and random source.
-type choosers struct {
+// router guards the state and the random source of the routing policy.
+type router struct {
 	mu      sync.Mutex
 	chooser *route.Chooser
 	rng     *rand.Rand
 }
 
-// Start makes the coordinator ready for use once its public fields are set.
+// Start initializes the coordinator and starts its queue dispatcher.
 func (c *Coordinator) Start() {
-	c.budget = request.NewBudget(c.Settings.Retries.Fraction, c.Settings.Retries.Burst)
+	c.retryBudget = request.NewBudget(c.Settings.Retries.Fraction, c.Settings.Retries.Burst)
 	c.calls = newCallSender(c.Settings)
-	c.choosers.chooser = route.NewChooser(route.Policy(c.Settings.Routing.Policy))
-	c.choosers.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	c.router.chooser = route.NewChooser(route.Policy(c.Settings.Routing.Policy))
+	c.router.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	c.flights = map[string]*request.Flight{}
-	c.explain = telemetry.NewJournal(journalEntries)
-	c.lanes.start(c)
-	c.ending, c.end = context.WithCancel(context.Background())
+	c.decisions = telemetry.NewJournal(maxJournalEntries)
+	c.queues.start(c)
+	c.baseCtx, c.cancelBase = context.WithCancel(context.Background())
 	empty, _ := catalog.NewSnapshot(nil)
 	c.catalog.Store(empty)
 }
 
-const journalEntries = 16384
+const maxJournalEntries = 16384
 
-// SetCatalog and SetShards take in what is newly in force.
+// SetCatalog replaces the active configuration.
 func (c *Coordinator) SetCatalog(s *catalog.Snapshot) { c.catalog.Store(s) }
 
-// Catalog is what is in force.
+// Catalog returns the active configuration, which is empty at first.
 func (c *Coordinator) Catalog() *catalog.Snapshot { return c.catalog.Load() }
 
-// SetShards takes in a newer shard map and returns the shards this node must
-// still get the records of.
+// SetShards installs a shard map and returns the shards whose records this node
+// must still fetch.
 func (c *Coordinator) SetShards(m claim.Map) []int {
 	c.shards.Store(&m)
 	return c.Ledger.Observe(m)
 }
 
-// Shards is the shard map in force, or nil before there is one.
+// Shards returns the current shard map, or nil before the first one.
 func (c *Coordinator) Shards() *claim.Map { return c.shards.Load() }
 
-// Open is the number of requests in progress.
-func (c *Coordinator) OpenRequests() int { return int(c.open.Load()) }
+// OpenRequests returns the number of requests in progress.
+func (c *Coordinator) OpenRequests() int { return int(c.inProgress.Load()) }
 
-// Begin starts a request, or joins the flight of an earlier one by the same
-// key. The returned answer, when not nil, refuses it.
-func (c *Coordinator) Begin(a Request) (*request.Flight, *request.Answer) {
-	full := request.FullKey(a.Customer, a.Key)
+// Begin starts a request, or joins the existing flight of its key. A non-nil answer
+// refuses the request.
+func (c *Coordinator) Begin(req Request) (*request.Flight, *request.Answer) {
+	fullKey := request.FullKey(req.Customer, req.Key)
 	now := c.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if f := c.flights[full]; f != nil {
-		if string(f.Digest) != string(a.Digest) {
+	if f := c.flights[fullKey]; f != nil {
+		if string(f.Digest) != string(req.Digest) {
 			return nil, keyReused()
 		}
 		f.Touch(now)
@@ -136,19 +137,19 @@
 	}
 	if c.OpenRequests() >= c.Settings.Limits.Flights {
 		r := request.Refused(http.StatusServiceUnavailable, codeNodeFull, "this node carries as many requests as it may; use another address", request.Jitter(time.Second))
-		if !a.FirstUse {
-			r = uncertain(r)
+		if !req.FirstUse {
+			r = earlierTryUnknown(r)
 		}
 		return nil, &r
 	}
-	ctx, cancel := context.WithDeadline(c.ending, a.Deadline)
+	ctx, cancel := context.WithDeadline(c.baseCtx, req.Deadline)
 	id := uuid.NewString()
-	f := request.NewFlight(full, a.Digest, id, a.Repeatable, now, cancel)
-	f.Customer, f.Priority = a.Customer, a.Target.Priority
-	c.flights[full] = f
-	c.open.Add(1)
+	f := request.NewFlight(fullKey, req.Digest, id, req.Repeatable, now, cancel)
+	f.Customer, f.Priority = req.Customer, req.Target.Priority
+	c.flights[fullKey] = f
+	c.inProgress.Add(1)
 	c.Attempts.Begin(id, now)
-	go c.fly(ctx, f, a)
+	go c.runFlight(ctx, f, req)
 	return f, nil
 }
 
@@ -157,145 +158,146 @@
 	return &r
 }
 
-// uncertain says of a refusal that an earlier try by the same key may have run.
-func uncertain(r request.Answer) request.Answer {
+// earlierTryUnknown turns a refusal into an indeterminate answer: an earlier try by
+// the same key may have run.
+func earlierTryUnknown(r request.Answer) request.Answer {
 	r.Outcome = request.MayHaveRun
 	r.Message += "; whether an earlier try by this key ran is not known here"
 	return r
 }
 
-func (c *Coordinator) fly(ctx context.Context, f *request.Flight, a Request) {
-	c.budget.Earn()
-	f.FirstUse = a.FirstUse
-	answer := c.run(ctx, f, a)
-	c.settle(f, a, answer)
-	unsent := answer.Outcome == request.NotRun
-	if unsent && !f.FirstUse && answer.Code != codeKeyReused {
-		answer = uncertain(answer)
+func (c *Coordinator) runFlight(ctx context.Context, f *request.Flight, req Request) {
+	c.retryBudget.Earn()
+	f.FirstUse = req.FirstUse
+	answer := c.execute(ctx, f, req)
+	c.settle(f, req, answer)
+	notRun := answer.Outcome == request.NotRun
+	if notRun && !f.FirstUse && answer.Code != codeKeyReused {
+		answer = earlierTryUnknown(answer)
 	}
-	unsure := answer.Outcome == request.MayHaveRun && (a.Repeatable || c.Attempts.Released(f.Attempt))
-	if unsent || unsure {
-		// The next try by this key begins anew: it may learn more.
-		c.forget(f)
+	indeterminate := answer.Outcome == request.MayHaveRun && (req.Repeatable || c.Attempts.Released(f.Attempt))
+	if notRun || indeterminate {
+		// Let the next try by this key start over; it may get a definite answer.
+		c.removeFlight(f)
 	}
 	if !f.Finish(answer) {
 		c.Metrics.Dropped("answer")
 	}
 	f.Cancel()
-	c.open.Add(-1)
+	c.inProgress.Add(-1)
 	kind := "call"
-	if a.Completion != nil {
+	if req.Completion != nil {
 		kind = "completion"
 	}
 	c.Metrics.Request(kind, string(answer.Outcome))
-	c.logEnd(f, a, answer)
+	c.logOutcome(f, req, answer)
 }
 
-func (c *Coordinator) run(ctx context.Context, f *request.Flight, a Request) request.Answer {
-	if a.FirstUse && !a.KeyProvided && a.Repeatable {
-		return c.send(ctx, f, a, nil)
+func (c *Coordinator) execute(ctx context.Context, f *request.Flight, req Request) request.Answer {
+	if req.FirstUse && !req.KeyProvided && req.Repeatable {
+		return c.send(ctx, f, req, nil)
 	}
-	answer := yielded()
-	for range yieldsMost {
-		answer = c.claimAndSend(ctx, f, a)
+	answer := yieldedAnswer()
+	for range maxYields {
+		answer = c.claimAndSend(ctx, f, req)
 		if answer.Code != codeYielded {
 			return answer
 		}
-		// The attempt gave way to another by the same key: join that one.
+		// Another attempt by the same key goes first: claim again to follow it.
 		f.Attempt = uuid.NewString()
 		c.Attempts.Begin(f.Attempt, c.Now())
 	}
 	return answer
 }
 
-const yieldsMost = 4
+const maxYields = 4
 
-func yielded() request.Answer {
-	return request.Refused(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(retryShard))
+func yieldedAnswer() request.Answer {
+	return request.Refused(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(shardRetryAfter))
 }
 
-func (c *Coordinator) claimAndSend(ctx context.Context, f *request.Flight, a Request) request.Answer {
+func (c *Coordinator) claimAndSend(ctx context.Context, f *request.Flight, req Request) request.Answer {
 	f.Claimed = true
-	res := c.claimKey(ctx, f, a)
+	res := c.claimKey(ctx, f, req)
 	switch {
 	case res.granted:
-		c.explain.Add(f.Key, "claimed", "attempt "+f.Attempt)
-		f.FirstUse = f.FirstUse || res.first
-		return c.send(ctx, f, a, res.place)
+		c.decisions.Add(f.Key, "claimed", "attempt "+f.Attempt)
+		f.FirstUse = f.FirstUse || res.neverSent
+		return c.send(ctx, f, req, res.resumeFrom)
 	case res.answer != nil:
 		return *res.answer
 	}
-	return c.follow(ctx, f, a, res.holder)
+	return c.follow(ctx, f, req, res.holder)
 }
 
-func (c *Coordinator) send(ctx context.Context, f *request.Flight, a Request, place *claim.Attempt) request.Answer {
-	if r := c.overLimit(a); r != nil {
+func (c *Coordinator) send(ctx context.Context, f *request.Flight, req Request, resumeFrom *claim.Attempt) request.Answer {
+	if r := c.checkRateLimit(req); r != nil {
 		return *r
 	}
-	if a.Completion != nil {
-		return c.complete(ctx, f, a, place)
+	if req.Completion != nil {
+		return c.complete(ctx, f, req, resumeFrom)
 	}
-	return c.call(ctx, f, a)
+	return c.call(ctx, f, req)
 }
 
-// overLimit refuses what is above the customer's rate.
-func (c *Coordinator) overLimit(a Request) *request.Answer {
-	cust, ok := c.Catalog().Customers[a.Customer]
+// checkRateLimit returns a refusal if the customer exceeds its request rate.
+func (c *Coordinator) checkRateLimit(req Request) *request.Answer {
+	cust, ok := c.Catalog().Customers[req.Customer]
 	if !ok {
 		return nil
 	}
-	allowed, retry := c.Limiter.Allow(a.Customer, cust.Customer.RequestsPS, len(c.Fleet.Nodes()), c.Now())
+	allowed, retryAfter := c.Limiter.Allow(req.Customer, cust.Customer.RequestsPS, len(c.Fleet.Nodes()), c.Now())
 	if allowed {
 		return nil
 	}
-	r := request.Refused(http.StatusTooManyRequests, codeRateLimited, "the customer's limit of requests a second is reached", request.Jitter(retry))
+	r := request.Refused(http.StatusTooManyRequests, codeRateLimited, "the customer's limit of requests a second is reached", request.Jitter(retryAfter))
 	return &r
 }
 
-// settle tells the keepers how the attempt ended, before the caller is told:
-// a caller who lost the answer finds it there.
-func (c *Coordinator) settle(f *request.Flight, a Request, answer request.Answer) {
+// settle reports the end of the attempt to the keepers before the caller is
+// answered, so that a caller that loses the answer can read it from them.
+func (c *Coordinator) settle(f *request.Flight, req Request, answer request.Answer) {
 	if answer.Outcome == request.NotRun {
 		c.Attempts.Withdraw(f.Attempt, c.Now())
 	}
 	if c.Attempts.Released(f.Attempt) {
-		// Also when another attempt won: what this one was told is not the
-		// fate of the request.
+		// This also applies if another attempt holds the key: the answer here
+		// is not the outcome of the request.
 		if f.Claimed {
-			c.tellKeepers(f, &peer.SettleRequest{Released: true})
+			c.broadcastSettle(f, &peer.SettleRequest{Released: true})
 		}
 		return
 	}
 	c.Attempts.Finish(f.Attempt, c.Now())
 	if answer.Code == codeNodeStopped {
-		// The record stays open: another node takes the request up from it.
+		// The record stays unsettled so that another node can take the request over.
 		return
 	}
-	if a.Repeatable && answer.Outcome == request.MayHaveRun {
-		c.tellKeepers(f, &peer.SettleRequest{Released: true})
+	if req.Repeatable && answer.Outcome == request.MayHaveRun {
+		c.broadcastSettle(f, &peer.SettleRequest{Released: true})
 		return
 	}
-	if !a.KeyProvided && a.Repeatable {
+	if !req.KeyProvided && req.Repeatable {
 		return
 	}
-	kept := answer
-	if a.Completion != nil {
-		kept.Tokens = f.Tokens()
+	stored := answer
+	if req.Completion != nil {
+		stored.Tokens = f.Tokens()
 	}
-	raw := kept.Encode()
+	raw := stored.Encode()
 	if len(raw) > c.Settings.Claims.KeptBytes {
 		return
 	}
-	told := c.tellKeepers(f, &peer.SettleRequest{Answer: raw})
-	if !a.Repeatable {
+	applied := c.broadcastSettle(f, &peer.SettleRequest{Answer: raw})
+	if !req.Repeatable {
 		select {
-		case <-told:
+		case <-applied:
 		case <-time.After(c.Settings.Claims.Timeout):
 		}
 	}
 }
 
-func (c *Coordinator) forget(f *request.Flight) {
+func (c *Coordinator) removeFlight(f *request.Flight) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.flights[f.Key] == f {
@@ -303,18 +305,18 @@
 	}
 }
 
-// Find returns the flight of a key at this node, or nil.
-func (c *Coordinator) FindFlight(full string) *request.Flight {
+// FindFlight returns this node's flight of a full key, or nil.
+func (c *Coordinator) FindFlight(fullKey string) *request.Flight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.flights[full]
+	return c.flights[fullKey]
 }
 
-// Sweep cancels flights that nobody reads and forgets old ones.
+// Sweep cancels abandoned flights and drops expired flights, records and attempts.
 func (c *Coordinator) Sweep() {
 	now := c.Now()
 	c.mu.Lock()
-	var lost []*request.Flight
+	var abandoned []*request.Flight
 	for key, f := range c.flights {
 		ended := f.Answer() != nil
 		switch {
@@ -323,18 +325,18 @@
 		case ended && f.Repeatable && f.Abandoned(now, c.Settings.Limits.Orphan):
 			delete(c.flights, key)
 		case !ended && f.Repeatable && f.Abandoned(now, c.Settings.Limits.Orphan):
-			lost = append(lost, f)
+			abandoned = append(abandoned, f)
 		}
 	}
 	c.mu.Unlock()
-	for _, f := range lost {
+	for _, f := range abandoned {
 		f.Cancel()
 	}
 	c.Ledger.Expire(now)
 	c.Attempts.Expire(now, c.Settings.Claims.Window)
 }
 
-// Wait returns once no request is in progress, or when ctx ends.
+// WaitIdle returns once no request is in progress, or when ctx ends.
 func (c *Coordinator) WaitIdle(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -347,5 +349,5 @@
 	}
 }
 
-// End cancels what is still in progress.
-func (c *Coordinator) CancelAll() { c.end() }
+// CancelAll cancels all requests in progress.
+func (c *Coordinator) CancelAll() { c.cancelBase() }
--- a/src/serve/follow.go
+++ b/src/serve/follow.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	readWait    = 2 * time.Second
-	readSlack   = 2 * time.Second
-	readTries   = 3
-	readBackoff = 50 * time.Millisecond
+	readLongPoll     = 2 * time.Second
+	readTimeoutSlack = 2 * time.Second
+	maxReadFailures  = 3
+	readBackoff      = 50 * time.Millisecond
 )
 
 // follow copies the flight of the coordinator that holds the key into this
 // one. When the coordinator is lost on the way, a repeatable request is taken
 // over, and of another it is said that it may have run.
-func (c *Coordinator) follow(ctx context.Context, f *request.Flight, a Request, holder claim.Attempt) request.Answer {
+func (c *Coordinator) follow(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
 	failed := 0
 	for ctx.Err() == nil {
 		_, have := f.Delivered()
-		resp, err := c.read(ctx, holder, f.Key, have)
+		resp, err := c.readFlight(ctx, holder, f.Key, have)
 		if err != nil || !resp.Found {
 			failed++
-			if failed >= readTries {
-				return c.orphaned(ctx, f, a, holder)
+			if failed >= maxReadFailures {
+				return c.recoverOrphan(ctx, f, req, holder)
 			}
-			pause(ctx, request.Jitter(readBackoff<<failed))
+			sleep(ctx, request.Jitter(readBackoff<<failed))
 			continue
 		}
 		failed = 0
@@ -46,32 +46,32 @@
 			if err == nil && r.Code != codeNodeStopped {
 				return r
 			}
-			return c.orphaned(ctx, f, a, holder)
+			return c.recoverOrphan(ctx, f, req, holder)
 		}
 	}
-	return c.ended(f, a)
+	return c.interruptedAnswer(f, req)
 }
 
-func (c *Coordinator) read(ctx context.Context, holder claim.Attempt, key string, after int) (*peer.ReadResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, readWait+readSlack)
+func (c *Coordinator) readFlight(ctx context.Context, holder claim.Attempt, key string, after int) (*peer.ReadResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, readLongPoll+readTimeoutSlack)
 	defer cancel()
-	return c.Pool.Client(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readWait.Milliseconds())})
+	return c.Pool.Client(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readLongPoll.Milliseconds())})
 }
 
 // orphaned decides on a request whose coordinator is lost: its keepers may
 // have the answer; else a repeatable one is claimed anew.
-func (c *Coordinator) orphaned(ctx context.Context, f *request.Flight, a Request, holder claim.Attempt) request.Answer {
-	rec := c.lookup(ctx, f.Key)
+func (c *Coordinator) recoverOrphan(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
+	rec := c.queryKeepers(ctx, f.Key)
 	if rec != nil && len(rec.Answer) > 0 {
 		if r, err := request.DecodeAnswer(rec.Answer); err == nil {
-			c.replay(f, &r)
+			c.replayTokens(f, &r)
 			return r
 		}
 	}
-	if !a.Repeatable || rec != nil && !rec.Repeatable {
-		return c.unsure(f, holder)
+	if !req.Repeatable || rec != nil && !rec.Repeatable {
+		return c.coordinatorLost(f, holder)
 	}
-	c.explain.Add(f.Key, "taken over", "its coordinator "+holder.Node+" is lost")
+	c.decisions.Add(f.Key, "taken over", "its coordinator "+holder.Node+" is lost")
 	var place *claim.Attempt
 	if rec != nil && len(rec.Attempts) == 1 && rec.Attempts[0].Engine != "" {
 		place = &rec.Attempts[0]
@@ -79,17 +79,17 @@
 	// The attempt of this flight was given up when it joined the lost one.
 	f.Attempt = uuid.NewString()
 	c.Attempts.Begin(f.Attempt, c.Now())
-	c.askKeepers(ctx, c.Shards(), f, a, []string{holder.ID})
-	return c.send(ctx, f, a, place)
+	c.requestVotes(ctx, c.Shards(), f, req, []string{holder.ID})
+	return c.send(ctx, f, req, place)
 }
 
 // Record is what the keepers hold of a key, or nil.
 func (c *Coordinator) LookupRecord(ctx context.Context, full string) *claim.Record {
-	return c.lookup(ctx, full)
+	return c.queryKeepers(ctx, full)
 }
 
 // lookup asks the keepers for a key's record; one with an answer wins.
-func (c *Coordinator) lookup(ctx context.Context, key string) *claim.Record {
+func (c *Coordinator) queryKeepers(ctx context.Context, key string) *claim.Record {
 	m := c.Shards()
 	if m == nil {
 		return nil
@@ -123,15 +123,15 @@
 }
 
 // ended is the answer to a flight whose time is up or that was cancelled.
-func (c *Coordinator) ended(f *request.Flight, a Request) request.Answer {
+func (c *Coordinator) interruptedAnswer(f *request.Flight, req Request) request.Answer {
 	if c.Attempts.Release(f.Attempt, c.Now()) {
 		return request.Refused(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
 	}
-	if c.ending.Err() != nil {
+	if c.baseCtx.Err() != nil {
 		return request.Indeterminate(codeNodeStopped, "this node stops; ask at another address by the same key", request.Jitter(time.Second))
 	}
-	if c.Now().Before(a.Deadline) {
-		return request.Answer{Outcome: request.Cancelled, Status: statusCancelled, Code: codeCancelled, Message: "the request was cancelled"}
+	if c.Now().Before(req.Deadline) {
+		return request.Answer{Outcome: request.Cancelled, Status: statusClientClosedRequest, Code: codeCancelled, Message: "the request was cancelled"}
 	}
 	return request.Answer{Outcome: request.MayHaveRun, Status: http.StatusGatewayTimeout, Code: codeDeadline, Message: "the request's time was up while it ran"}
 }
--- a/src/serve/keeper.go
+++ b/src/serve/keeper.go
@@ -10,7 +10,7 @@
 	"github.com/crankridge/crankridge/src/peer"
 )
 
-const readBatch = 512
+const maxReadTokens = 512
 
 // Claim answers a coordinator as a keeper.
 func (c *Coordinator) Claim(_ context.Context, m *peer.ClaimRequest) (*peer.ClaimResponse, error) {
@@ -66,7 +66,7 @@
 	for {
 		tokens, answer, changed := f.Since(int(m.After))
 		if len(tokens) > 0 || answer != nil {
-			return readResponse(m.After, tokens, answer), nil
+			return newReadResponse(m.After, tokens, answer), nil
 		}
 		select {
 		case <-ctx.Done():
@@ -90,12 +90,12 @@
 	if ready, mine := c.Ledger.Ready()[shard]; !mine || ready == def.Epoch {
 		return true
 	}
-	if recs, ok := c.copyReady(ctx, shard, def); ok {
+	if recs, ok := c.copyFromReadyKeeper(ctx, shard, def); ok {
 		return c.Ledger.Adopt(shard, def.Epoch, recs)
 	}
 	var sources [][]claim.Record
 	for _, k := range def.Source {
-		ready, recs, ok := c.seal(ctx, k, shard, def.Epoch)
+		ready, recs, ok := c.sealAt(ctx, k, shard, def.Epoch)
 		if ok && ready >= def.SourceEpoch {
 			sources = append(sources, recs)
 		}
@@ -107,19 +107,19 @@
 }
 
 // copyReady reads a fellow keeper that holds all records of this epoch.
-func (c *Coordinator) copyReady(ctx context.Context, shard int, def claim.Shard) ([]claim.Record, bool) {
+func (c *Coordinator) copyFromReadyKeeper(ctx context.Context, shard int, def claim.Shard) ([]claim.Record, bool) {
 	for _, k := range def.Keepers {
 		if k.Name == c.Self.Name {
 			continue
 		}
-		if ready, recs, ok := c.seal(ctx, k, shard, def.Epoch); ok && ready == def.Epoch {
+		if ready, recs, ok := c.sealAt(ctx, k, shard, def.Epoch); ok && ready == def.Epoch {
 			return recs, true
 		}
 	}
 	return nil, false
 }
 
-func (c *Coordinator) seal(ctx context.Context, k claim.Node, shard int, epoch int64) (int64, []claim.Record, bool) {
+func (c *Coordinator) sealAt(ctx context.Context, k claim.Node, shard int, epoch int64) (int64, []claim.Record, bool) {
 	if k.Name == c.Self.Name && k.Incarnation == c.Self.Incarnation {
 		ready, recs := c.Ledger.Seal(shard, epoch)
 		return ready, recs, true
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -13,13 +13,13 @@
 )
 
 // waitingReport is how old a report may be while requests wait.
-const waitingReport = 300 * time.Millisecond
+const maxReportAgeQueued = 300 * time.Millisecond
 
-func readResponse(after int64, tokens []string, answer *request.Answer) *peer.ReadResponse {
+func newReadResponse(after int64, tokens []string, answer *request.Answer) *peer.ReadResponse {
 	out := &peer.ReadResponse{Found: true}
-	more := len(tokens) > readBatch
+	more := len(tokens) > maxReadTokens
 	if more {
-		tokens = tokens[:readBatch]
+		tokens = tokens[:maxReadTokens]
 	}
 	for i, t := range tokens {
 		out.Events = append(out.Events, &peer.Event{Id: after + int64(i) + 1, Text: t})
@@ -31,13 +31,13 @@
 	return out
 }
 
-func (c *Coordinator) logEnd(f *request.Flight, a Request, answer request.Answer) {
+func (c *Coordinator) logOutcome(f *request.Flight, req Request, answer request.Answer) {
 	up, _ := f.Location()
-	if a.Call != nil {
-		up = a.Call.Service
+	if req.Call != nil {
+		up = req.Call.Service
 	}
 	_, n := f.Delivered()
-	klog.InfoS("request", "key", a.Key, "customer", a.Customer, "upstream", up, "outcome", answer.Outcome,
+	klog.InfoS("request", "key", req.Key, "customer", req.Customer, "upstream", up, "outcome", answer.Outcome,
 		"status", answer.Status, "code", answer.Code, "tokens", n, "ms", c.Now().Sub(f.StartedAt).Milliseconds())
 }
 
@@ -48,19 +48,19 @@
 func (c *Coordinator) PollEngines(ctx context.Context) {
 	for ctx.Err() == nil {
 		every := c.Settings.Routing.Report
-		if c.lanes.waiting() {
-			every = min(every, waitingReport)
+		if c.queues.waiting() {
+			every = min(every, maxReportAgeQueued)
 		}
 		for _, name := range c.Registry.Names(upstream.KindEngine) {
-			if c.Registry.ReportDue(name, every) && c.follows(name) {
-				go c.pollOne(ctx, name)
+			if c.Registry.ReportDue(name, every) && c.inSubset(name) {
+				go c.pollEngine(ctx, name)
 			}
 		}
-		pause(ctx, request.Jitter(min(c.Settings.Routing.Report, waitingReport)))
+		sleep(ctx, request.Jitter(min(c.Settings.Routing.Report, maxReportAgeQueued)))
 	}
 }
 
-func (c *Coordinator) follows(name string) bool {
+func (c *Coordinator) inSubset(name string) bool {
 	p, ok := c.Registry.Get(name)
 	if !ok {
 		return false
@@ -75,7 +75,7 @@
 	return false
 }
 
-func (c *Coordinator) pollOne(ctx context.Context, name string) {
+func (c *Coordinator) pollEngine(ctx context.Context, name string) {
 	p, ok := c.Registry.Get(name)
 	if !ok {
 		return
@@ -95,7 +95,7 @@
 
 // Explain returns what was decided about a key or an upstream, "" for all.
 func (c *Coordinator) Explain(subject string) []telemetry.Decision {
-	return c.explain.ForSubject(subject)
+	return c.decisions.ForSubject(subject)
 }
 
 // FlightDump is a request as the state dump shows it.
@@ -109,7 +109,7 @@
 	Outcome    request.Outcome `json:"outcome,omitempty"`
 }
 
-const dumpedFlights = 200
+const maxDumpedFlights = 200
 
 // Flights returns up to a bounded number of requests for the state dump.
 func (c *Coordinator) Flights() []FlightDump {
@@ -117,7 +117,7 @@
 	defer c.mu.Unlock()
 	var out []FlightDump
 	for _, f := range c.flights {
-		if len(out) == dumpedFlights {
+		if len(out) == maxDumpedFlights {
 			break
 		}
 		_, n := f.Delivered()
@@ -141,14 +141,14 @@
 
 // Queues returns the admission queues for the state dump.
 func (c *Coordinator) Queues() []QueueDump {
-	c.lanes.mu.Lock()
-	defer c.lanes.mu.Unlock()
+	c.queues.mu.Lock()
+	defer c.queues.mu.Unlock()
 	var out []QueueDump
-	for model, ln := range c.lanes.lanes {
-		out = append(out, QueueDump{model, ln.queue.Len(), ln.queue.Bytes(), ln.hold})
+	for model, ln := range c.queues.byModel {
+		out = append(out, QueueDump{model, ln.queue.Len(), ln.queue.Bytes(), ln.holdSeconds})
 	}
 	return out
 }
 
 // Retries tells how many retries the node may still make.
-func (c *Coordinator) RetriesLeft() float64 { return c.budget.Available() }
+func (c *Coordinator) RetriesLeft() float64 { return c.retryBudget.Available() }
