--- a/src/serve/follow.go
+++ b/src/serve/follow.go
@@ -19,25 +19,25 @@
 	readBackoff      = 50 * time.Millisecond
 )
 
-// follow copies the flight of the coordinator that holds the key into this
-// one. When the coordinator is lost on the way, a repeatable request is taken
-// over, and of another it is said that it may have run.
+// follow copies the tokens and the answer of the attempt that holds the key. If its
+// coordinator is lost, a repeatable request is taken over and any other gets an
+// indeterminate answer.
 func (c *Coordinator) follow(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
-	failed := 0
+	failures := 0
 	for ctx.Err() == nil {
-		_, have := f.Delivered()
-		resp, err := c.readFlight(ctx, holder, f.Key, have)
+		_, delivered := f.Delivered()
+		resp, err := c.readFlight(ctx, holder, f.Key, delivered)
 		if err != nil || !resp.Found {
-			failed++
-			if failed >= maxReadFailures {
+			failures++
+			if failures >= maxReadFailures {
 				return c.recoverOrphan(ctx, f, req, holder)
 			}
-			sleep(ctx, request.Jitter(readBackoff<<failed))
+			sleep(ctx, request.Jitter(readBackoff<<failures))
 			continue
 		}
-		failed = 0
+		failures = 0
 		for _, ev := range resp.Events {
-			if _, have := f.Delivered(); int(ev.Id) == have+1 {
+			if _, delivered := f.Delivered(); int(ev.Id) == delivered+1 {
 				f.Append(ev.Text)
 			}
 		}
@@ -58,8 +58,8 @@
 	return c.Pool.Client(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readLongPoll.Milliseconds())})
 }
 
-// orphaned decides on a request whose coordinator is lost: its keepers may
-// have the answer; else a repeatable one is claimed anew.
+// recoverOrphan answers a request whose coordinator is lost. If the keepers have no
+// answer, a repeatable request is claimed and sent again.
 func (c *Coordinator) recoverOrphan(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
 	rec := c.queryKeepers(ctx, f.Key)
 	if rec != nil && len(rec.Answer) > 0 {
@@ -72,23 +72,23 @@
 		return c.coordinatorLost(f, holder)
 	}
 	c.decisions.Add(f.Key, "taken over", "its coordinator "+holder.Node+" is lost")
-	var place *claim.Attempt
+	var resumeFrom *claim.Attempt
 	if rec != nil && len(rec.Attempts) == 1 && rec.Attempts[0].Engine != "" {
-		place = &rec.Attempts[0]
+		resumeFrom = &rec.Attempts[0]
 	}
-	// The attempt of this flight was given up when it joined the lost one.
+	// This flight released its attempt when it began to follow the lost one.
 	f.Attempt = uuid.NewString()
 	c.Attempts.Begin(f.Attempt, c.Now())
 	c.requestVotes(ctx, c.Shards(), f, req, []string{holder.ID})
-	return c.send(ctx, f, req, place)
+	return c.send(ctx, f, req, resumeFrom)
 }
 
-// Record is what the keepers hold of a key, or nil.
-func (c *Coordinator) LookupRecord(ctx context.Context, full string) *claim.Record {
-	return c.queryKeepers(ctx, full)
+// LookupRecord returns the keepers' record of a full key, or nil.
+func (c *Coordinator) LookupRecord(ctx context.Context, fullKey string) *claim.Record {
+	return c.queryKeepers(ctx, fullKey)
 }
 
-// lookup asks the keepers for a key's record; one with an answer wins.
+// queryKeepers asks all keepers of a key for its record and prefers one with an answer.
 func (c *Coordinator) queryKeepers(ctx context.Context, key string) *claim.Record {
 	m := c.Shards()
 	if m == nil {
@@ -122,7 +122,8 @@
 	return best
 }
 
-// ended is the answer to a flight whose time is up or that was cancelled.
+// interruptedAnswer is the answer to a flight that was cancelled, by its caller or by
+// the node's shutdown, or that passed its deadline.
 func (c *Coordinator) interruptedAnswer(f *request.Flight, req Request) request.Answer {
 	if c.Attempts.Release(f.Attempt, c.Now()) {
 		return request.Refused(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
--- a/src/serve/keeper.go
+++ b/src/serve/keeper.go
@@ -12,7 +12,7 @@
 
 const maxReadTokens = 512
 
-// Claim answers a coordinator as a keeper.
+// Claim handles a coordinator's claim as a keeper.
 func (c *Coordinator) Claim(_ context.Context, m *peer.ClaimRequest) (*peer.ClaimResponse, error) {
 	if m.Attempt == nil || m.Key == "" {
 		return nil, twirp.RequiredArgumentError("attempt and key")
@@ -20,18 +20,18 @@
 	return peer.ReplyToProto(c.Ledger.Vote(peer.ClaimFromProto(m), c.Now())), nil
 }
 
-// Settle takes in the end of an attempt, or its place.
+// Settle stores the end of an attempt, or the stream it runs on.
 func (c *Coordinator) Settle(_ context.Context, m *peer.SettleRequest) (*peer.Empty, error) {
 	c.applySettle(m)
 	return &peer.Empty{}, nil
 }
 
-// Lookup returns the record held for a key.
+// Lookup returns the record that this keeper holds for a key.
 func (c *Coordinator) Lookup(_ context.Context, m *peer.LookupRequest) (*peer.LookupResponse, error) {
 	return &peer.LookupResponse{Record: peer.RecordToProto(c.Ledger.Lookup(int(m.Shard), m.Key))}, nil
 }
 
-// Seal ends earlier epochs of a shard here and hands over its records.
+// Seal ends earlier epochs of a shard on this keeper and returns its records.
 func (c *Coordinator) Seal(_ context.Context, m *peer.SealRequest) (*peer.SealResponse, error) {
 	ready, records := c.Ledger.Seal(int(m.Shard), m.Epoch)
 	out := &peer.SealResponse{ReadyEpoch: ready}
@@ -41,8 +41,8 @@
 	return out, nil
 }
 
-// Inquire answers what became of an attempt of this node. One of an earlier
-// incarnation is not known.
+// Inquire returns the state of an attempt of this node, which may yield to the
+// asker's. The state of an attempt of an earlier incarnation is unknown.
 func (c *Coordinator) Inquire(_ context.Context, m *peer.InquireRequest) (*peer.InquireResponse, error) {
 	if m.Incarnation != c.Self.Incarnation {
 		return &peer.InquireResponse{}, nil
@@ -54,8 +54,8 @@
 	return &peer.InquireResponse{State: states[c.Attempts.Yield(m.Attempt, m.Asker, c.Now())]}, nil
 }
 
-// Read returns the tokens of a flight after an offset, and its answer once it
-// has ended; it waits a bounded time for the first news.
+// Read returns the tokens of a flight after an offset, and its answer once it has
+// ended. If there is nothing to return yet, it waits up to the requested time.
 func (c *Coordinator) Read(ctx context.Context, m *peer.ReadRequest) (*peer.ReadResponse, error) {
 	f := c.FindFlight(m.Key)
 	if f == nil {
@@ -78,26 +78,26 @@
 	}
 }
 
-// Gather makes this node ready to keep a shard: it seals and reads the
-// source's keepers, or copies from a keeper that is ready already. It returns
-// false when too few could be read; the caller tries again.
+// SyncShard makes this node ready to keep a shard: it copies the records of a keeper
+// that is ready, or seals and merges those of the previous keepers. It returns
+// false if too few of them could be read, and the caller retries.
 func (c *Coordinator) SyncShard(ctx context.Context, shard int) bool {
 	m := c.Shards()
 	if m == nil || shard >= len(m.Shards) {
 		return true
 	}
 	def := m.Shards[shard]
-	if ready, mine := c.Ledger.Ready()[shard]; !mine || ready == def.Epoch {
+	if ready, keeping := c.Ledger.Ready()[shard]; !keeping || ready == def.Epoch {
 		return true
 	}
-	if recs, ok := c.copyFromReadyKeeper(ctx, shard, def); ok {
-		return c.Ledger.Adopt(shard, def.Epoch, recs)
+	if records, ok := c.copyFromReadyKeeper(ctx, shard, def); ok {
+		return c.Ledger.Adopt(shard, def.Epoch, records)
 	}
 	var sources [][]claim.Record
-	for _, k := range def.Source {
-		ready, recs, ok := c.sealAt(ctx, k, shard, def.Epoch)
+	for _, source := range def.Source {
+		ready, records, ok := c.sealAt(ctx, source, shard, def.Epoch)
 		if ok && ready >= def.SourceEpoch {
-			sources = append(sources, recs)
+			sources = append(sources, records)
 		}
 	}
 	if len(def.Source) == 0 || len(sources) < claim.ReadQuorum(len(def.Source)) {
@@ -106,14 +106,15 @@
 	return c.Ledger.Adopt(shard, def.Epoch, sources...)
 }
 
-// copyReady reads a fellow keeper that holds all records of this epoch.
+// copyFromReadyKeeper returns the records of another keeper that is ready for the
+// shard's epoch.
 func (c *Coordinator) copyFromReadyKeeper(ctx context.Context, shard int, def claim.Shard) ([]claim.Record, bool) {
 	for _, k := range def.Keepers {
 		if k.Name == c.Self.Name {
 			continue
 		}
-		if ready, recs, ok := c.sealAt(ctx, k, shard, def.Epoch); ok && ready == def.Epoch {
-			return recs, true
+		if ready, records, ok := c.sealAt(ctx, k, shard, def.Epoch); ok && ready == def.Epoch {
+			return records, true
 		}
 	}
 	return nil, false
@@ -121,8 +122,8 @@
 
 func (c *Coordinator) sealAt(ctx context.Context, k claim.Node, shard int, epoch int64) (int64, []claim.Record, bool) {
 	if k.Name == c.Self.Name && k.Incarnation == c.Self.Incarnation {
-		ready, recs := c.Ledger.Seal(shard, epoch)
-		return ready, recs, true
+		ready, records := c.Ledger.Seal(shard, epoch)
+		return ready, records, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Settings.Claims.Timeout)
 	defer cancel()
@@ -131,9 +132,9 @@
 	if err != nil {
 		return 0, nil, false
 	}
-	var recs []claim.Record
+	var records []claim.Record
 	for _, r := range resp.Records {
-		recs = append(recs, *peer.RecordFromProto(r))
+		records = append(records, *peer.RecordFromProto(r))
 	}
-	return resp.ReadyEpoch, recs, true
+	return resp.ReadyEpoch, records, true
 }
--- a/src/serve/move.go
+++ b/src/serve/move.go
@@ -10,82 +10,82 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-// departure is how a stream goes on when its engine leaves: it stays to its
-// end, or continues elsewhere, at the engine named when that holds its cache.
+// moveDecision says how a stream proceeds when its engine leaves.
 type moveDecision struct {
-	stay   bool
-	engine string
+	stay   bool   // finish on the leaving engine
+	engine string // engine that now holds the KV cache, if any
 }
 
-// leave decides what becomes of a stream whose engine is leaving, and moves
-// its cache if that is the way.
-func (r *completionRun) decideMove(ctx context.Context, g engineSlot, id string) moveDecision {
-	_, deadline := r.coord.Registry.Leaving(g.Name)
-	_, n := r.flight.Delivered()
-	l := request.LeavingStream{
-		Notice: deadline.Sub(r.coord.Now()), RemainingTokens: r.completion.MaxTokens - n, TokenInterval: time.Duration(g.StepMS * float64(time.Millisecond)),
-		ContextTokens: len(r.completion.PromptText())/int(bytesPerToken) + n, CacheMoveRate: g.KVTransferTPS, TokensAhead: r.coord.tokensAhead(g.Name, r.flight),
+// decideMove chooses how a stream proceeds when its engine leaves, and moves its KV
+// cache if that is chosen.
+func (r *completionRun) decideMove(ctx context.Context, slot engineSlot, streamID string) moveDecision {
+	_, deadline := r.coord.Registry.Leaving(slot.Name)
+	_, delivered := r.flight.Delivered()
+	stream := request.LeavingStream{
+		Notice: deadline.Sub(r.coord.Now()), RemainingTokens: r.completion.MaxTokens - delivered, TokenInterval: time.Duration(slot.StepMS * float64(time.Millisecond)),
+		ContextTokens: len(r.completion.PromptText())/int(bytesPerToken) + delivered, CacheMoveRate: slot.KVTransferTPS, TokensAhead: r.coord.tokensAhead(slot.Name, r.flight),
 	}
-	move := request.ChooseMove(l)
+	move := request.ChooseMove(stream)
 	r.coord.Metrics.Move(string(move))
-	r.coord.decisions.Add(r.flight.Key, "move "+string(move), fmt.Sprintf("engine %s leaves in %s, %d tokens at most to come", g.Name, l.Notice.Round(time.Millisecond), l.RemainingTokens))
+	r.coord.decisions.Add(r.flight.Key, "move "+string(move), fmt.Sprintf("engine %s leaves in %s, %d tokens at most to come", slot.Name, stream.Notice.Round(time.Millisecond), stream.RemainingTokens))
 	switch move {
 	case request.MoveFinish:
 		return moveDecision{stay: true}
 	case request.MoveCache:
-		return moveDecision{engine: r.moveCache(ctx, g, id, deadline)}
+		return moveDecision{engine: r.moveCache(ctx, slot, streamID, deadline)}
 	}
 	return moveDecision{}
 }
 
-// moveCache has another engine pull the stream's KV cache. It returns that
-// engine's name, or "" when the cache could not be moved.
-func (r *completionRun) moveCache(ctx context.Context, g engineSlot, id string, deadline time.Time) string {
-	given, _ := r.flight.Delivered()
-	text := r.completion.PromptText() + given
+// moveCache has another engine import the stream's KV cache. It returns that
+// engine's name, or "" if the cache could not be moved.
+func (r *completionRun) moveCache(ctx context.Context, slot engineSlot, streamID string, deadline time.Time) string {
+	prefix, _ := r.flight.Delivered()
+	text := r.completion.PromptText() + prefix
 	w := &waiter{promptBytes: len(text), blocks: engine.Blocks(text)}
 	r.coord.queues.mu.Lock()
-	to, ok := r.coord.queues.reserve(r.completion.Model, w, map[string]bool{g.Name: true}, "")
+	target, ok := r.coord.queues.reserve(r.completion.Model, w, map[string]bool{slot.Name: true}, "")
 	r.coord.queues.mu.Unlock()
 	if !ok {
 		return ""
 	}
-	defer to.release()
+	defer target.release()
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if err := r.coord.Engines.ImportKV(ctx, to.Addr, engine.Import{Source: g.Addr, Stream: id}); err != nil {
+	if err := r.coord.Engines.ImportKV(ctx, target.Addr, engine.Import{Source: slot.Addr, Stream: streamID}); err != nil {
 		r.coord.decisions.Add(r.flight.Key, "cache not moved", err.Error())
 		return ""
 	}
-	return to.Name
+	return target.Name
 }
 
-// aheadAt is the size of the streams of higher priority at the same engine.
-func (c *Coordinator) tokensAhead(name string, f *request.Flight) int {
+// tokensAhead counts the tokens delivered by streams of higher priority on the same
+// engine, which are moved first.
+func (c *Coordinator) tokensAhead(engineName string, f *request.Flight) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tokens := 0
-	for _, o := range c.flights {
-		if at, _ := o.Location(); at == name && o != f && o.Priority > f.Priority && o.Answer() == nil {
-			_, n := o.Delivered()
+	for _, other := range c.flights {
+		if at, _ := other.Location(); at == engineName && other != f && other.Priority > f.Priority && other.Answer() == nil {
+			_, n := other.Delivered()
 			tokens += n
 		}
 	}
 	return tokens
 }
 
-func (r *completionRun) cancelStream(addr, id string) {
+func (r *completionRun) cancelStream(addr, streamID string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = r.coord.Engines.Cancel(ctx, addr, id)
+		_ = r.coord.Engines.Cancel(ctx, addr, streamID)
 	}()
 }
 
 func (r *completionRun) isLeaving(name string) bool {
-	left, _ := r.coord.Registry.Leaving(name)
+	leaving, _ := r.coord.Registry.Leaving(name)
 	select {
-	case <-left:
+	case <-leaving:
 		return true
 	default:
 		return false
@@ -93,36 +93,36 @@
 }
 
 func (r *completionRun) cancelCurrentStream() {
-	name, id := r.flight.Location()
-	if p, ok := r.coord.Registry.Get(name); ok {
-		r.cancelStream(p.Addr, id)
+	name, streamID := r.flight.Location()
+	if up, ok := r.coord.Registry.Get(name); ok {
+		r.cancelStream(up.Addr, streamID)
 	}
 }
 
-// takeOver reads the stream that a lost coordinator left at its engine, from
-// its beginning, so that nothing is computed again.
-func (r *completionRun) takeOver(ctx context.Context, place *claim.Attempt) (request.Answer, bool) {
-	p, ok := r.coord.Registry.Get(place.Engine)
+// takeOver reads a lost coordinator's stream from its beginning, so that nothing is
+// recomputed. It returns false if the stream cannot be read to its end.
+func (r *completionRun) takeOver(ctx context.Context, orphan *claim.Attempt) (request.Answer, bool) {
+	up, ok := r.coord.Registry.Get(orphan.Engine)
 	if !ok {
 		return request.Answer{}, false
 	}
 	r.recomputeCause = causeTakeover
 	r.sent = true
-	r.flight.SetLocation(place.Engine, place.Stream)
+	r.flight.SetLocation(orphan.Engine, orphan.Stream)
 	cands := r.coord.Registry.Candidates(r.completion.Model, nil)
-	g := engineSlot{release: func() {}}
-	g.Name, g.Addr = p.Name, p.Addr
+	slot := engineSlot{release: func() {}}
+	slot.Name, slot.Addr = up.Name, up.Addr
 	for _, c := range cands {
-		if c.Name == p.Name {
-			g.Candidate = c
+		if c.Name == up.Name {
+			slot.Candidate = c
 		}
 	}
-	err := r.readStream(ctx, g, place.Stream, r.resumeFunc(g, place.Stream))
-	_, n := r.flight.Delivered()
-	if err == nil || n >= r.completion.MaxTokens {
-		return r.completedAnswer(n), true
+	err := r.readStream(ctx, slot, orphan.Stream, r.resumeFunc(slot, orphan.Stream))
+	_, delivered := r.flight.Delivered()
+	if err == nil || delivered >= r.completion.MaxTokens {
+		return r.completedAnswer(delivered), true
 	}
-	// What cannot be read must not go on being computed.
-	r.cancelStream(p.Addr, place.Stream)
+	// Stop the engine from computing tokens that nobody reads.
+	r.cancelStream(up.Addr, orphan.Stream)
 	return request.Answer{}, false
 }
--- a/src/serve/queues.go
+++ b/src/serve/queues.go
@@ -17,17 +17,17 @@
 
 const (
 	dispatchInterval   = 10 * time.Millisecond
-	holdTimeWeight     = 0.05 // weight of a new reading of how long a slot is held
-	initialHoldSeconds = 2.0  // seconds, before any reading
+	holdTimeWeight     = 0.05 // weight of a new sample in the moving average
+	initialHoldSeconds = 2.0  // until the first sample
 	minRetryAfter      = 500 * time.Millisecond
 	noEngineRetryAfter = 5 * time.Second
 	bytesPerToken      = 5.0
 )
 
-// lanes holds one queue a model. A request leaves its queue when some engine
-// has room for it, in the fair order.
+// modelQueues holds one admission queue per model. Queued requests are dispatched
+// in fair order as engines have free slots.
 type modelQueues struct {
-	c       *Coordinator
+	coord   *Coordinator
 	mu      sync.Mutex
 	byModel map[string]*modelQueue
 	wake    chan struct{}
@@ -35,117 +35,117 @@
 
 type modelQueue struct {
 	queue       *admit.Queue
-	holdSeconds float64 // seconds for which a request holds a slot, measured
-	// yields are the streams of this node that can make room for an event.
+	holdSeconds float64 // moving average of the time a request holds its slot
+	// preemptible are this node's streams that may be preempted for an event.
 	preemptible map[*completionRun]bool
 }
 
-// waiter is a queued request; it is answered by its channel.
+// waiter is a queued request. Its engine slot is sent on the slot channel.
 type waiter struct {
 	promptBytes int
 	blocks      []uint64
-	resuming    bool // its caller has tokens already, so it must not be refused
+	resuming    bool // the caller has received tokens, so the request must not be refused
 	slot        chan engineSlot
 }
 
-// granted is a place at an engine; end gives it back.
+// engineSlot is a reserved slot on an engine.
 type engineSlot struct {
 	route.Choice
 	release func()
 }
 
-func (l *modelQueues) start(c *Coordinator) {
-	l.c = c
-	l.byModel = map[string]*modelQueue{}
-	l.wake = make(chan struct{}, 1)
-	go l.dispatchLoop()
+func (qs *modelQueues) start(c *Coordinator) {
+	qs.coord = c
+	qs.byModel = map[string]*modelQueue{}
+	qs.wake = make(chan struct{}, 1)
+	go qs.dispatchLoop()
 }
 
-func (l *modelQueues) forModel(model string) *modelQueue {
-	ln := l.byModel[model]
-	if ln == nil {
-		ln = &modelQueue{preemptible: map[*completionRun]bool{}, queue: admit.NewQueue(l.c.Settings.Limits.QueueEntries, l.c.Settings.Limits.QueueBytes), holdSeconds: initialHoldSeconds}
-		l.byModel[model] = ln
+func (qs *modelQueues) forModel(model string) *modelQueue {
+	q := qs.byModel[model]
+	if q == nil {
+		q = &modelQueue{preemptible: map[*completionRun]bool{}, queue: admit.NewQueue(qs.coord.Settings.Limits.QueueEntries, qs.coord.Settings.Limits.QueueBytes), holdSeconds: initialHoldSeconds}
+		qs.byModel[model] = q
 	}
-	return ln
+	return q
 }
 
-// run pumps the queues when something changed, and now and then while
-// somebody waits, since reports age by themselves.
-func (l *modelQueues) dispatchLoop() {
-	for range l.wake {
-		for l.dispatchAll() {
+// dispatchLoop dispatches queued requests when notified and, while any wait, at
+// intervals, because load estimates change as reports age.
+func (qs *modelQueues) dispatchLoop() {
+	for range qs.wake {
+		for qs.dispatchAll() {
 			select {
-			case <-l.wake:
+			case <-qs.wake:
 			case <-time.After(dispatchInterval):
 			}
 		}
 	}
 }
 
-// pumpAll tells whether somebody still waits.
-func (l *modelQueues) dispatchAll() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// dispatchAll dispatches from all queues and reports whether any request still waits.
+func (qs *modelQueues) dispatchAll() bool {
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
 	waiting := false
-	for model, ln := range l.byModel {
-		l.dispatch(model, ln)
-		waiting = waiting || ln.queue.Len() > 0
+	for model, q := range qs.byModel {
+		qs.dispatch(model, q)
+		waiting = waiting || q.queue.Len() > 0
 	}
 	return waiting
 }
 
-// waiting tells whether any request waits for an engine.
-func (l *modelQueues) waiting() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, ln := range l.byModel {
-		if ln.queue.Len() > 0 {
+// waiting reports whether any request is queued.
+func (qs *modelQueues) waiting() bool {
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	for _, q := range qs.byModel {
+		if q.queue.Len() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *modelQueues) notify() {
+func (qs *modelQueues) notify() {
 	select {
-	case l.wake <- struct{}{}:
+	case qs.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *modelQueues) dispatch(model string, ln *modelQueue) {
-	for ln.queue.Len() > 0 {
-		e, prefer := (*admit.Entry)(nil), ""
-		if l.hasCapacity(model) {
-			e = ln.queue.Pop()
-		} else if prefer = ln.preemptLowest(); prefer != "" {
-			e = ln.queue.PopHighestPriority()
+func (qs *modelQueues) dispatch(model string, q *modelQueue) {
+	for q.queue.Len() > 0 {
+		entry, preferred := (*admit.Entry)(nil), ""
+		if qs.hasCapacity(model) {
+			entry = q.queue.Pop()
+		} else if preferred = q.preemptLowest(); preferred != "" {
+			entry = q.queue.PopHighestPriority()
 		}
-		if e == nil {
+		if entry == nil {
 			return
 		}
-		w := e.Value.(*waiter)
-		g, ok := l.reserve(model, w, nil, prefer)
+		w := entry.Value.(*waiter)
+		slot, ok := qs.reserve(model, w, nil, preferred)
 		if !ok {
-			ln.queue.PushUnbounded(e)
+			q.queue.PushUnbounded(entry)
 			return
 		}
-		w.slot <- g
+		w.slot <- slot
 	}
 }
 
-// makeRoom pauses the stream of lowest priority when a request of an event in
-// force waits behind streams of no event, and names the engine where it ran:
-// there the request goes first. What the stream has computed is kept; it
-// queues for its continuation. A stream without a token may not run yet and
-// would free nothing.
-func (ln *modelQueue) preemptLowest() (engine string) {
-	if ln.queue.HighestPriority() < catalog.EventPriority {
+// preemptLowest preempts the stream of lowest priority if a request of an active
+// event is queued and a stream outside any event can be preempted. It returns the
+// stream's engine, which the queued request should take, or "". The preempted
+// stream keeps its tokens and queues to continue. Streams without a new token are
+// skipped, because they may not hold a slot yet.
+func (q *modelQueue) preemptLowest() (engine string) {
+	if q.queue.HighestPriority() < catalog.EventPriority {
 		return ""
 	}
 	var victim *completionRun
-	for r := range ln.preemptible {
+	for r := range q.preemptible {
 		if _, n := r.flight.Delivered(); n <= r.baseTokens {
 			continue
 		}
@@ -156,160 +156,161 @@
 	if victim == nil {
 		return ""
 	}
-	delete(ln.preemptible, victim)
+	delete(q.preemptible, victim)
 	close(victim.preempt)
 	engine, _ = victim.flight.Location()
 	return engine
 }
 
-// running enters a stream that may be asked to make room; the returned
-// function takes it out.
-func (l *modelQueues) registerPreemptible(r *completionRun) (out func()) {
+// registerPreemptible registers a repeatable stream for preemption; the returned
+// function unregisters it.
+func (qs *modelQueues) registerPreemptible(r *completionRun) (unregister func()) {
 	if !r.req.Repeatable {
 		return func() {}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ln := l.forModel(r.completion.Model)
-	ln.preemptible[r] = true
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	q := qs.forModel(r.completion.Model)
+	q.preemptible[r] = true
 	return func() {
-		l.mu.Lock()
-		delete(ln.preemptible, r)
-		l.mu.Unlock()
+		qs.mu.Lock()
+		delete(q.preemptible, r)
+		qs.mu.Unlock()
 	}
 }
 
-// room tells whether any engine of the model has a slot left.
-func (l *modelQueues) hasCapacity(model string) bool {
-	for _, c := range l.c.candidates(model, nil) {
-		if l.hasFreeSlot(c) {
+// hasCapacity reports whether any engine of the model has a free slot.
+func (qs *modelQueues) hasCapacity(model string) bool {
+	for _, c := range qs.coord.candidates(model, nil) {
+		if qs.hasFreeSlot(c) {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *modelQueues) hasFreeSlot(c upstream.Candidate) bool {
-	return c.Busy < c.Slots*l.c.Settings.Routing.Overshoot
+// hasFreeSlot allows Settings.Routing.Overshoot requests per slot.
+func (qs *modelQueues) hasFreeSlot(c upstream.Candidate) bool {
+	return c.Busy < c.Slots*qs.coord.Settings.Routing.Overshoot
 }
 
-// place chooses an engine and counts the request to it. prefer names the
-// engine to take when it is a candidate, "" for none.
-func (l *modelQueues) reserve(model string, w *waiter, avoid map[string]bool, prefer string) (engineSlot, bool) {
-	cands := l.c.candidates(model, w.blocks)
-	if i := slices.IndexFunc(cands, func(c upstream.Candidate) bool { return c.Name == prefer }); i >= 0 {
+// reserve chooses an engine and reserves a slot on it. The preferred engine is
+// chosen if it is a candidate.
+func (qs *modelQueues) reserve(model string, w *waiter, avoid map[string]bool, preferred string) (engineSlot, bool) {
+	cands := qs.coord.candidates(model, w.blocks)
+	if i := slices.IndexFunc(cands, func(c upstream.Candidate) bool { return c.Name == preferred }); i >= 0 {
 		cands = cands[i : i+1]
 	}
-	choice, ok := l.c.choose(cands, route.Request{
-		PromptBytes: w.promptBytes, Blocks: w.blocks, Avoid: avoid, AvoidDomain: l.c.Registry.LeavingDomains(),
+	choice, ok := qs.coord.choose(cands, route.Request{
+		PromptBytes: w.promptBytes, Blocks: w.blocks, Avoid: avoid, AvoidDomain: qs.coord.Registry.LeavingDomains(),
 	})
 	if !ok {
 		return engineSlot{}, false
 	}
 	uncached := max(float64(w.promptBytes)/bytesPerToken-float64(choice.CachedBlocks)*blockTokens*choice.CacheConfidence, 1)
-	return engineSlot{choice, l.c.Registry.Begin(choice.Name, uncached, w.blocks)}, true
+	return engineSlot{choice, qs.coord.Registry.Begin(choice.Name, uncached, w.blocks)}, true
 }
 
-// blockTokens is how many tokens a prefix block holds on average.
+// blockTokens is the average number of tokens in a prefix block.
 const blockTokens = 256 / bytesPerToken
 
-// acquire gets a place: at once when an engine has room, else by the queue. A
-// new request that cannot meet its latency is refused at once; one that goes
-// on after the text given is not.
+// acquireSlot reserves an engine slot, waiting in the queue if none is free. A new
+// request that is expected to miss its time-to-first-token target is refused; a
+// continued one is not.
 func (c *Coordinator) acquireSlot(ctx context.Context, f *request.Flight, req Request) (engineSlot, *request.Answer) {
-	given, n := f.Delivered()
-	text := req.Completion.PromptText() + given
-	w := &waiter{promptBytes: len(text), blocks: engine.Blocks(text), slot: make(chan engineSlot, 1), resuming: n > 0}
-	e, g, refusal := c.queues.reserveOrEnqueue(req, w)
-	if e == nil {
-		return g, refusal
+	prefix, delivered := f.Delivered()
+	text := req.Completion.PromptText() + prefix
+	w := &waiter{promptBytes: len(text), blocks: engine.Blocks(text), slot: make(chan engineSlot, 1), resuming: delivered > 0}
+	entry, slot, refusal := c.queues.reserveOrEnqueue(req, w)
+	if entry == nil {
+		return slot, refusal
 	}
 	select {
-	case g := <-w.slot:
-		return g, nil
+	case slot := <-w.slot:
+		return slot, nil
 	case <-ctx.Done():
 	}
 	c.queues.mu.Lock()
-	c.queues.forModel(req.Completion.Model).queue.Remove(e)
+	c.queues.forModel(req.Completion.Model).queue.Remove(entry)
 	c.queues.mu.Unlock()
 	select {
-	case g := <-w.slot:
-		g.release()
+	case slot := <-w.slot:
+		slot.release()
 	default:
 	}
 	r := c.interruptedAnswer(f, req)
 	return engineSlot{}, &r
 }
 
-func (l *modelQueues) reserveOrEnqueue(req Request, w *waiter) (*admit.Entry, engineSlot, *request.Answer) {
+func (qs *modelQueues) reserveOrEnqueue(req Request, w *waiter) (*admit.Entry, engineSlot, *request.Answer) {
 	model := req.Completion.Model
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	cands := l.c.candidates(model, w.blocks)
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	cands := qs.coord.candidates(model, w.blocks)
 	if len(cands) == 0 && !w.resuming {
 		r := request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no engine holds model "+model+" just now", request.Jitter(noEngineRetryAfter))
 		return nil, engineSlot{}, &r
 	}
-	ln := l.forModel(model)
-	if ln.queue.Len() == 0 && l.hasCapacity(model) {
-		if g, ok := l.reserve(model, w, nil, ""); ok {
-			if over := g.TTFT - l.ttftTarget(req); over > 0 && !w.resuming {
-				g.release()
+	q := qs.forModel(model)
+	if q.queue.Len() == 0 && qs.hasCapacity(model) {
+		if slot, ok := qs.reserve(model, w, nil, ""); ok {
+			if over := slot.TTFT - qs.ttftTarget(req); over > 0 && !w.resuming {
+				slot.release()
 				return nil, engineSlot{}, overloadedAnswer(over)
 			}
-			return nil, g, nil
+			return nil, slot, nil
 		}
 	}
-	wait := ln.estimateWait(cands, req, len(l.c.Fleet.Nodes()))
-	if over := wait - l.ttftTarget(req); over > 0 && !w.resuming {
+	wait := q.estimateWait(cands, req, len(qs.coord.Fleet.Nodes()))
+	if over := wait - qs.ttftTarget(req); over > 0 && !w.resuming {
 		return nil, engineSlot{}, overloadedAnswer(over)
 	}
-	e := &admit.Entry{
-		Customer: req.Customer, Weight: req.Target.Share, Priority: req.Target.Priority, Cost: 1, Bytes: w.promptBytes, EnqueuedAt: l.c.Now(), Value: w,
+	entry := &admit.Entry{
+		Customer: req.Customer, Weight: req.Target.Share, Priority: req.Target.Priority, Cost: 1, Bytes: w.promptBytes, EnqueuedAt: qs.coord.Now(), Value: w,
 	}
 	if w.resuming {
-		ln.queue.PushUnbounded(e)
-	} else if !ln.queue.Push(e) {
+		q.queue.PushUnbounded(entry)
+	} else if !q.queue.Push(entry) {
 		return nil, engineSlot{}, overloadedAnswer(wait)
 	}
-	l.notify()
-	return e, engineSlot{}, nil
+	qs.notify()
+	return entry, engineSlot{}, nil
 }
 
-func overloadedAnswer(over time.Duration) *request.Answer {
-	r := request.Refused(http.StatusTooManyRequests, codeOverload, "the first token would come too late; nothing was sent", request.Jitter(max(over, minRetryAfter)))
+func overloadedAnswer(retryAfter time.Duration) *request.Answer {
+	r := request.Refused(http.StatusTooManyRequests, codeOverload, "the first token would come too late; nothing was sent", request.Jitter(max(retryAfter, minRetryAfter)))
 	return &r
 }
 
-func (l *modelQueues) ttftTarget(req Request) time.Duration {
+func (qs *modelQueues) ttftTarget(req Request) time.Duration {
 	if req.Target.FirstToken > 0 {
 		return req.Target.FirstToken
 	}
-	return l.c.Settings.Limits.FirstToken
+	return qs.coord.Settings.Limits.FirstToken
 }
 
-// wait estimates when a request entering now would start: those ahead of it,
-// over the rate at which this node's part of the slots comes free.
-func (ln *modelQueue) estimateWait(cands []upstream.Candidate, req Request, nodes int) time.Duration {
+// estimateWait estimates how long a new request would be queued: the cost ahead of
+// it over the rate at which this node's share of the slots is released.
+func (q *modelQueue) estimateWait(cands []upstream.Candidate, req Request, nodes int) time.Duration {
 	slots := 0.0
 	for _, c := range cands {
 		slots += c.Slots
 	}
-	rate := slots / ln.holdSeconds / float64(max(nodes, 1))
-	ahead := ln.queue.CostAhead(req.Customer, req.Target.Share, req.Target.Priority)
+	rate := slots / q.holdSeconds / float64(max(nodes, 1))
+	ahead := q.queue.CostAhead(req.Customer, req.Target.Share, req.Target.Priority)
 	return time.Duration((ahead + 1) / rate * float64(time.Second))
 }
 
-// held takes in how long a request held its slot.
-func (l *modelQueues) recordHoldTime(model string, d time.Duration) {
-	l.mu.Lock()
-	ln := l.forModel(model)
-	ln.holdSeconds += holdTimeWeight * (d.Seconds() - ln.holdSeconds)
-	l.mu.Unlock()
-	l.notify()
+// recordHoldTime updates the average slot hold time of a model.
+func (qs *modelQueues) recordHoldTime(model string, held time.Duration) {
+	qs.mu.Lock()
+	q := qs.forModel(model)
+	q.holdSeconds += holdTimeWeight * (held.Seconds() - q.holdSeconds)
+	qs.mu.Unlock()
+	qs.notify()
 }
 
-// candidates are the engines of the model that this node follows.
+// candidates returns the engines of the model in this node's subset.
 func (c *Coordinator) candidates(model string, blocks []uint64) []upstream.Candidate {
 	cands := c.Registry.Candidates(model, blocks)
 	size := c.Settings.Routing.Subset
@@ -320,14 +321,14 @@
 	for _, cand := range cands {
 		domains[cand.Name] = cand.FailureDomain
 	}
-	mine := route.Subset(domains, c.Self.Name, size)
-	var out []upstream.Candidate
+	subset := route.Subset(domains, c.Self.Name, size)
+	var selected []upstream.Candidate
 	for _, cand := range cands {
-		if mine[cand.Name] {
-			out = append(out, cand)
+		if subset[cand.Name] {
+			selected = append(selected, cand)
 		}
 	}
-	return out
+	return selected
 }
 
 func (c *Coordinator) choose(cands []upstream.Candidate, r route.Request) (route.Choice, bool) {
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -12,19 +12,19 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// waitingReport is how old a report may be while requests wait.
-const maxReportAgeQueued = 300 * time.Millisecond
+// queuedReportInterval is the polling interval while requests are queued.
+const queuedReportInterval = 300 * time.Millisecond
 
 func newReadResponse(after int64, tokens []string, answer *request.Answer) *peer.ReadResponse {
 	out := &peer.ReadResponse{Found: true}
-	more := len(tokens) > maxReadTokens
-	if more {
+	truncated := len(tokens) > maxReadTokens
+	if truncated {
 		tokens = tokens[:maxReadTokens]
 	}
 	for i, t := range tokens {
 		out.Events = append(out.Events, &peer.Event{Id: after + int64(i) + 1, Text: t})
 	}
-	if answer != nil && !more {
+	if answer != nil && !truncated {
 		out.Done = true
 		out.Answer = answer.Encode()
 	}
@@ -36,36 +36,36 @@
 	if req.Call != nil {
 		up = req.Call.Service
 	}
-	_, n := f.Delivered()
+	_, tokens := f.Delivered()
 	klog.InfoS("request", "key", req.Key, "customer", req.Customer, "upstream", up, "outcome", answer.Outcome,
-		"status", answer.Status, "code", answer.Code, "tokens", n, "ms", c.Now().Sub(f.StartedAt).Milliseconds())
+		"status", answer.Status, "code", answer.Code, "tokens", tokens, "ms", c.Now().Sub(f.StartedAt).Milliseconds())
 }
 
-// Poll asks each followed engine for its report unless one came on an answer
-// within the interval, until ctx ends. While requests wait here the interval
-// is short: a node that gets no place gets no answers, and with old reports it
-// would go on seeing no place.
+// PollEngines requests a load report from each engine of this node's subset that
+// has not sent one within the polling interval, until ctx ends. Answers also carry
+// reports, but a node without engine slots gets no answers. The interval is
+// therefore shorter while requests are queued.
 func (c *Coordinator) PollEngines(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := c.Settings.Routing.Report
+		interval := c.Settings.Routing.Report
 		if c.queues.waiting() {
-			every = min(every, maxReportAgeQueued)
+			interval = min(interval, queuedReportInterval)
 		}
 		for _, name := range c.Registry.Names(upstream.KindEngine) {
-			if c.Registry.ReportDue(name, every) && c.inSubset(name) {
+			if c.Registry.ReportDue(name, interval) && c.inSubset(name) {
 				go c.pollEngine(ctx, name)
 			}
 		}
-		sleep(ctx, request.Jitter(min(c.Settings.Routing.Report, maxReportAgeQueued)))
+		sleep(ctx, request.Jitter(min(c.Settings.Routing.Report, queuedReportInterval)))
 	}
 }
 
 func (c *Coordinator) inSubset(name string) bool {
-	p, ok := c.Registry.Get(name)
+	up, ok := c.Registry.Get(name)
 	if !ok {
 		return false
 	}
-	for _, m := range p.Models {
+	for _, m := range up.Models {
 		for _, cand := range c.candidates(m.Name, nil) {
 			if cand.Name == name {
 				return true
@@ -76,29 +76,30 @@
 }
 
 func (c *Coordinator) pollEngine(ctx context.Context, name string) {
-	p, ok := c.Registry.Get(name)
+	up, ok := c.Registry.Get(name)
 	if !ok {
 		return
 	}
-	st, err := c.Engines.State(ctx, p.Addr, c.Registry.CacheSeq(name))
+	state, err := c.Engines.State(ctx, up.Addr, c.Registry.CacheSeq(name))
 	if err != nil {
 		c.Registry.RecordFailure(name, true)
 		return
 	}
-	c.Registry.UpdateLoad(name, time.UnixMilli(st.AtMS), float64(st.Running), float64(st.Waiting), float64(st.QueuedTokens), st.StepMS)
-	c.Registry.ApplyCacheEvents(name, st.CacheSeq, st.Cache)
+	c.Registry.UpdateLoad(name, time.UnixMilli(state.AtMS), float64(state.Running), float64(state.Waiting), float64(state.QueuedTokens), state.StepMS)
+	c.Registry.ApplyCacheEvents(name, state.CacheSeq, state.Cache)
 	c.Registry.RecordSuccess(name)
-	if st.LeavingMS > 0 {
-		c.Registry.MarkLeaving(name, time.UnixMilli(st.LeavingMS))
+	if state.LeavingMS > 0 {
+		c.Registry.MarkLeaving(name, time.UnixMilli(state.LeavingMS))
 	}
 }
 
-// Explain returns what was decided about a key or an upstream, "" for all.
+// Explain returns the recorded decisions about a request key or an upstream, or all
+// if subject is empty.
 func (c *Coordinator) Explain(subject string) []telemetry.Decision {
 	return c.decisions.ForSubject(subject)
 }
 
-// FlightDump is a request as the state dump shows it.
+// FlightDump describes a request in the state dump.
 type FlightDump struct {
 	Key        string          `json:"key"`
 	Repeatable bool            `json:"repeatable"`
@@ -111,7 +112,7 @@
 
 const maxDumpedFlights = 200
 
-// Flights returns up to a bounded number of requests for the state dump.
+// Flights returns a bounded number of requests for the state dump.
 func (c *Coordinator) Flights() []FlightDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,18 +121,18 @@
 		if len(out) == maxDumpedFlights {
 			break
 		}
-		_, n := f.Delivered()
-		d := FlightDump{Key: f.Key, Repeatable: f.Repeatable, Priority: f.Priority, AgeMS: c.Now().Sub(f.StartedAt).Milliseconds(), Tokens: n}
-		d.Engine, _ = f.Location()
+		_, tokens := f.Delivered()
+		dump := FlightDump{Key: f.Key, Repeatable: f.Repeatable, Priority: f.Priority, AgeMS: c.Now().Sub(f.StartedAt).Milliseconds(), Tokens: tokens}
+		dump.Engine, _ = f.Location()
 		if a := f.Answer(); a != nil {
-			d.Outcome = a.Outcome
+			dump.Outcome = a.Outcome
 		}
-		out = append(out, d)
+		out = append(out, dump)
 	}
 	return out
 }
 
-// QueueDump is a model's queue as the state dump shows it.
+// QueueDump describes the admission queue of a model in the state dump.
 type QueueDump struct {
 	Model   string  `json:"model"`
 	Waiting int     `json:"waiting"`
@@ -144,11 +145,11 @@
 	c.queues.mu.Lock()
 	defer c.queues.mu.Unlock()
 	var out []QueueDump
-	for model, ln := range c.queues.byModel {
-		out = append(out, QueueDump{model, ln.queue.Len(), ln.queue.Bytes(), ln.holdSeconds})
+	for model, q := range c.queues.byModel {
+		out = append(out, QueueDump{model, q.queue.Len(), q.queue.Bytes(), q.holdSeconds})
 	}
 	return out
 }
 
-// Retries tells how many retries the node may still make.
+// RetriesLeft returns the retries left in the node's budget.
 func (c *Coordinator) RetriesLeft() float64 { return c.retryBudget.Available() }
--- a/src/serve/stream.go
+++ b/src/serve/stream.go
@@ -13,74 +13,75 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-// stream runs one stream at one engine until it ends, breaks or moves.
-func (r *completionRun) runStream(ctx context.Context, g engineSlot) error {
-	given, n := r.flight.Delivered()
-	r.baseTokens = n
+// runStream runs one stream on one engine until it ends, fails or moves.
+func (r *completionRun) runStream(ctx context.Context, slot engineSlot) error {
+	prefix, delivered := r.flight.Delivered()
+	r.baseTokens = delivered
 	r.tokensAtResume = 0
-	id := fmt.Sprintf("%s-%d", r.flight.Attempt, r.tries)
-	body := r.completion.EngineBody(given, n, r.req.Target.Priority, seedOf(r.flight.Key))
-	began := r.coord.Now()
-	r.flight.SetLocation(g.Name, id)
+	streamID := fmt.Sprintf("%s-%d", r.flight.Attempt, r.tries)
+	body := r.completion.EngineBody(prefix, delivered, r.req.Target.Priority, seedOf(r.flight.Key))
+	startedAt := r.coord.Now()
+	r.flight.SetLocation(slot.Name, streamID)
 	r.coord.decisions.Add(r.flight.Key, "routed", fmt.Sprintf("engine %s in %s, first token estimated in %s, %.1f of %.0f slots busy, %d prefix blocks believed held",
-		g.Name, g.FailureDomain, g.Choice.TTFT.Round(time.Millisecond), g.Busy, g.Slots, g.CachedBlocks))
-	if n == 0 {
-		r.coord.Metrics.AddedLatency(began.Sub(r.flight.StartedAt))
+		slot.Name, slot.FailureDomain, slot.Choice.TTFT.Round(time.Millisecond), slot.Busy, slot.Slots, slot.CachedBlocks))
+	if delivered == 0 {
+		r.coord.Metrics.AddedLatency(startedAt.Sub(r.flight.StartedAt))
 	}
-	err := r.readStream(ctx, g, id, func(ctx context.Context) error {
-		return r.coord.Engines.Open(ctx, g.Addr, id, r.completion.Chat, body, r.metaHandler(g.Name), r.handleToken)
+	err := r.readStream(ctx, slot, streamID, func(ctx context.Context) error {
+		return r.coord.Engines.Open(ctx, slot.Addr, streamID, r.completion.Chat, body, r.metaHandler(slot.Name), r.handleToken)
 	})
-	r.coord.queues.recordHoldTime(r.completion.Model, r.coord.Now().Sub(began))
-	r.recordUsage(g, n)
+	r.coord.queues.recordHoldTime(r.completion.Model, r.coord.Now().Sub(startedAt))
+	r.recordUsage(slot, delivered)
 	return err
 }
 
-// read reads a stream as open begins it, and takes it up again where it broke
-// as long as that brings something.
-func (r *completionRun) readStream(ctx context.Context, g engineSlot, id string, open func(context.Context) error) error {
-	err := r.superviseRead(ctx, g, id, open)
-	for errors.Is(err, engine.ErrBroken) && r.canResume(g.Name) {
-		err = r.superviseRead(ctx, g, id, r.resumeFunc(g, id))
+// readStream opens and reads a stream. It resumes the stream after a disconnect as
+// long as that yields new tokens.
+func (r *completionRun) readStream(ctx context.Context, slot engineSlot, streamID string, open func(context.Context) error) error {
+	err := r.superviseRead(ctx, slot, streamID, open)
+	for errors.Is(err, engine.ErrBroken) && r.canResume(slot.Name) {
+		err = r.superviseRead(ctx, slot, streamID, r.resumeFunc(slot, streamID))
 	}
 	return err
 }
 
-func (r *completionRun) resumeFunc(g engineSlot, id string) func(context.Context) error {
+func (r *completionRun) resumeFunc(slot engineSlot, streamID string) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_, now := r.flight.Delivered()
-		return r.coord.Engines.Resume(ctx, g.Addr, id, int64(now-r.baseTokens), r.metaHandler(g.Name), r.handleToken)
+		_, delivered := r.flight.Delivered()
+		return r.coord.Engines.Resume(ctx, slot.Addr, streamID, int64(delivered-r.baseTokens), r.metaHandler(slot.Name), r.handleToken)
 	}
 }
 
-// seedOf makes a request's answer the same wherever it is computed.
+// seedOf derives the sampling seed from the key, so that the answer does not depend
+// on the engine.
 func seedOf(key string) int64 { return int64(xxhash.Sum64String(key) >> 1) }
 
-// resumable tells whether a broken stream is worth asking for again.
-func (r *completionRun) canResume(name string) bool {
-	if r.isLeaving(name) {
+// canResume reports whether a disconnected stream should be resumed: its engine is
+// not leaving, and it yielded tokens since it was last resumed.
+func (r *completionRun) canResume(engineName string) bool {
+	if r.isLeaving(engineName) {
 		return false
 	}
-	_, now := r.flight.Delivered()
-	// Each resumption must bring something, or the engine is given up.
-	progress := now-r.baseTokens > r.tokensAtResume
-	r.tokensAtResume = now - r.baseTokens
+	_, delivered := r.flight.Delivered()
+	progress := delivered-r.baseTokens > r.tokensAtResume
+	r.tokensAtResume = delivered - r.baseTokens
 	return progress
 }
 
-// watch reads a stream in the background and meanwhile looks out for the
-// engine's leaving and for a stall.
-func (r *completionRun) superviseRead(ctx context.Context, g engineSlot, id string, read func(context.Context) error) error {
+// superviseRead runs read in the background and cancels it if the stream stalls, is
+// preempted, or moves because its engine leaves.
+func (r *completionRun) superviseRead(ctx context.Context, slot engineSlot, streamID string, read func(context.Context) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	done := make(chan error, 1)
 	go func() { done <- read(ctx) }()
-	left, _ := r.coord.Registry.Leaving(g.Name)
+	leaving, _ := r.coord.Registry.Leaving(slot.Name)
 	r.preempt = make(chan struct{})
 	defer r.coord.queues.registerPreemptible(r)()
-	stall := time.NewTimer(r.firstTokenTimeout(g))
+	stall := time.NewTimer(r.firstTokenTimeout(slot))
 	defer stall.Stop()
-	_, seen := r.flight.Delivered()
-	moved := make(chan moveDecision, 1)
+	_, lastSeen := r.flight.Delivered()
+	moves := make(chan moveDecision, 1)
 	for {
 		select {
 		case err := <-done:
@@ -88,94 +89,96 @@
 				return cause
 			}
 			return err
-		case <-left:
-			left = nil
-			go func() { moved <- r.decideMove(ctx, g, id) }()
+		case <-leaving:
+			leaving = nil
+			go func() { moves <- r.decideMove(ctx, slot, streamID) }()
 		case <-r.preempt:
 			r.recomputeCause, r.preempted = causeYield, true
 			cancel(errMoved)
 			<-done
-			r.cancelStream(g.Addr, id)
+			r.cancelStream(slot.Addr, streamID)
 			return errMoved
-		case d := <-moved:
-			if d.stay {
+		case move := <-moves:
+			if move.stay {
 				continue
 			}
-			r.recomputeCause, r.preferredEngine = causeReclaim, d.engine
-			r.avoid[g.Name] = true
+			r.recomputeCause, r.preferredEngine = causeReclaim, move.engine
+			r.avoid[slot.Name] = true
 			cancel(errMoved)
 			<-done
-			r.cancelStream(g.Addr, id)
+			r.cancelStream(slot.Addr, streamID)
 			return errMoved
 		case <-stall.C:
-			if _, now := r.flight.Delivered(); now > seen {
-				seen = now
+			if _, delivered := r.flight.Delivered(); delivered > lastSeen {
+				lastSeen = delivered
 				stall.Reset(r.coord.Settings.Routing.Stall)
 				continue
 			}
 			cancel(engine.ErrStalled)
 			<-done
-			r.cancelStream(g.Addr, id)
+			r.cancelStream(slot.Addr, streamID)
 			return engine.ErrStalled
 		}
 	}
 }
 
-// firstWait is how long the first token may take before the engine counts as
-// stalled: what was estimated, several times over, and the common bound.
-func (r *completionRun) firstTokenTimeout(g engineSlot) time.Duration {
-	return r.coord.Settings.Routing.Stall + 4*g.TTFT
+// firstTokenTimeout returns the stall timeout for the first token, which allows for
+// its estimated latency.
+func (r *completionRun) firstTokenTimeout(slot engineSlot) time.Duration {
+	return r.coord.Settings.Routing.Stall + 4*slot.TTFT
 }
 
-// meta takes in what an answer's head says of its engine.
-func (r *completionRun) metaHandler(name string) func(engine.Meta) {
-	return func(m engine.Meta) {
-		if m.LeavingMS > 0 {
-			r.coord.Registry.MarkLeaving(name, time.UnixMilli(m.LeavingMS))
+// metaHandler processes the engine metadata in the head of an answer.
+func (r *completionRun) metaHandler(engineName string) func(engine.Meta) {
+	return func(meta engine.Meta) {
+		if meta.LeavingMS > 0 {
+			r.coord.Registry.MarkLeaving(engineName, time.UnixMilli(meta.LeavingMS))
 		}
-		if m.Load != nil {
-			n := m.Load.Named
-			r.coord.Registry.UpdateLoad(name, time.UnixMilli(int64(n.AtMS)), n.Running, n.Waiting, n.QueuedTokens, n.StepMS)
+		if meta.Load != nil {
+			load := meta.Load.Named
+			r.coord.Registry.UpdateLoad(engineName, time.UnixMilli(int64(load.AtMS)), load.Running, load.Waiting, load.QueuedTokens, load.StepMS)
 		}
-		if m.Started {
+		if meta.Started {
 			r.sent = true
-			r.coord.publishStreamLocation(r.flight, r.req, name, r.baseTokens)
+			r.coord.publishStreamLocation(r.flight, r.req, engineName, r.baseTokens)
 		}
 	}
 }
 
-// notePlace lets the keepers know where the stream runs, so that another node
-// can take it up. A stream that continues an earlier one could not be read
-// from its beginning and is not noted.
-func (c *Coordinator) publishStreamLocation(f *request.Flight, req Request, engine string, base int) {
-	_, id := f.Location()
+// publishStreamLocation tells the keepers where the stream runs, so that another
+// node can take it over. A stream that continues an earlier one does not contain
+// the whole answer and is not published.
+func (c *Coordinator) publishStreamLocation(f *request.Flight, req Request, engineName string, baseTokens int) {
+	_, streamID := f.Location()
 	switch {
-	case base > 0:
+	case baseTokens > 0:
 	case req.FirstUse && !req.KeyProvided && req.Repeatable:
-		// Nobody can have used the key, so its claim is for later readers only.
+		// An issued key is sent without a claim, since no other attempt can use
+		// it. Claim it now so that later readers find the request.
 		go c.requestVotes(context.Background(), c.Shards(), f, req, nil)
 	default:
-		c.broadcastSettle(f, &peer.SettleRequest{Engine: engine, Stream: id})
+		c.broadcastSettle(f, &peer.SettleRequest{Engine: engineName, Stream: streamID})
 	}
 }
 
-// token takes in one token of the present stream. Those already delivered are dropped.
+// handleToken appends a token of the current stream, or drops it if it was already
+// delivered.
 func (r *completionRun) handleToken(t engine.Token) error {
 	if t.Usage != nil {
 		r.usage = t.Usage
 		return nil
 	}
-	_, n := r.flight.Delivered()
-	at := r.baseTokens + int(t.ID)
+	_, delivered := r.flight.Delivered()
+	position := r.baseTokens + int(t.ID)
 	switch {
-	case at <= n:
+	case position <= delivered:
 		r.coord.Metrics.Dropped("token")
 		return nil
-	case at > n+1:
-		return fmt.Errorf("%w: token %d after %d", engine.ErrBroken, at, n)
+	case position > delivered+1:
+		return fmt.Errorf("%w: token %d after %d", engine.ErrBroken, position, delivered)
 	}
 	now := r.coord.Now()
-	if n == 0 {
+	if delivered == 0 {
 		r.coord.Metrics.FirstToken(now.Sub(r.flight.StartedAt))
 	} else if !r.lastTokenAt.IsZero() {
 		r.coord.Metrics.TokenInterval(now.Sub(r.lastTokenAt))
@@ -189,16 +192,17 @@
 	return nil
 }
 
-// learn corrects what is believed of the engine by what the stream showed.
-func (r *completionRun) recordUsage(g engineSlot, given int) {
-	u := r.usage
-	if u == nil {
+// recordUsage updates the estimate of the engine's prefix cache from the reported
+// usage.
+func (r *completionRun) recordUsage(slot engineSlot, delivered int) {
+	usage := r.usage
+	if usage == nil {
 		return
 	}
-	cached := int(float64(u.PromptDetails.CachedTokens) / blockTokens)
+	cached := int(float64(usage.PromptDetails.CachedTokens) / blockTokens)
 	text := r.completion.PromptText()
-	r.coord.Registry.RecordCacheUsage(g.Name, engine.Blocks(text), cached)
-	if given > 0 {
-		r.coord.Metrics.Recomputed(r.recomputeCause, u.PromptTokens, u.PromptTokens-u.PromptDetails.CachedTokens)
+	r.coord.Registry.RecordCacheUsage(slot.Name, engine.Blocks(text), cached)
+	if delivered > 0 {
+		r.coord.Metrics.Recomputed(r.recomputeCause, usage.PromptTokens, usage.PromptTokens-usage.PromptDetails.CachedTokens)
 	}
 }
