--- a/src/conn/dial.go
+++ b/src/conn/dial.go
@@ -1,5 +1,5 @@
-// Package conn makes the connections that a process keeps to others, and finds
-// out when they have fallen silent: bytes are lost, nothing is reset, and new
+// Package conn dials connections that are kept open to other processes and
+// detects those that have stalled: packets are lost without a reset, while new
 // connections work.
 package conn
 
@@ -11,34 +11,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times after which the kernel ends a connection whose other side is silent.
+// Limits after which the kernel closes a connection to an unresponsive peer.
 const (
-	probeIdle   = 2 * time.Second // without traffic, before the first keep-alive probe
-	probeEvery  = time.Second
-	probesMost  = 2               // unanswered
-	unackedMost = 4 * time.Second // for bytes that were sent and not acknowledged
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2               // unanswered probes that close the connection
+	userTimeout       = 4 * time.Second // maximum time sent data may stay unacknowledged
 )
 
-// Dialer returns a dialer whose connections end with an error once the other
-// side has been silent for unackedMost, whether or not anything was sent.
-// timeout bounds the dialing itself.
+// Dialer returns a dialer whose connections fail once the peer has not responded
+// for userTimeout, whether the connection is idle or has data in flight. timeout
+// limits connection setup.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probesMost},
-		Control:         boundUnacked,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         setUserTimeout,
 	}
 }
 
-// boundUnacked sets how long sent bytes may stay unacknowledged. Keep-alive
-// probes are not sent while some are.
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
-	var set error
+// setUserTimeout sets TCP_USER_TIMEOUT. Keep-alive alone does not suffice: no
+// probes are sent while data is unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
--- a/src/conn/kept_test.go
+++ b/src/conn/stall_test.go
@@ -14,41 +14,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// quietServer answers well until it is told to hush: then the connections that
-// are open are answered no more, and new ones are.
-type quietServer struct {
-	hushed atomic.Int64 // connections numbered up to here are silent
-	opened atomic.Int64
+// stallingServer answers normally until stall is called. From then on it stops
+// answering on the connections that are open, but answers on new ones.
+type stallingServer struct {
+	stalledUpTo atomic.Int64 // highest number of a stalled connection
+	opened      atomic.Int64
 }
 
 type connNumber struct{}
 
-func (q *quietServer) start(t *testing.T) *httptest.Server {
+func (s *stallingServer) start(t *testing.T) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Context().Value(connNumber{}).(int64) <= q.hushed.Load() {
+		if r.Context().Value(connNumber{}).(int64) <= s.stalledUpTo.Load() {
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(http.StatusOK)
 	}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, connNumber{}, q.opened.Add(1))
+		return context.WithValue(ctx, connNumber{}, s.opened.Add(1))
 	}
 	server.Start()
 	t.Cleanup(server.Close)
 	return server
 }
 
-func (q *quietServer) hush() { q.hushed.Store(q.opened.Load()) }
+func (s *stallingServer) stall() { s.stalledUpTo.Store(s.opened.Load()) }
 
-// Issue 19, CONFIG: each of several kept connections to the store had to run out of time by itself.
-func TestOneSilentConnectionCastsDoubtOnTheOthers(t *testing.T) {
+// Issue 19: each pooled connection to the store had to time out separately.
+func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
 	is := is.New(t)
-	q := &quietServer{}
-	server := q.start(t)
-	var silent atomic.Value
-	k := &StallDetectingTransport{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, OnStalledConn: func(host string) { silent.Store(host) }}
-	client := &http.Client{Transport: k}
+	s := &stallingServer{}
+	server := s.start(t)
+	var stalledHost atomic.Value
+	transport := &StallDetectingTransport{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, OnStalledConn: func(host string) { stalledHost.Store(host) }}
+	client := &http.Client{Transport: transport}
 	get := func(limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
@@ -61,22 +61,22 @@
 		return err
 	}
 	calls := make(chan error, 4)
-	for range cap(calls) { // several at a time, so that several connections are kept
+	for range cap(calls) { // concurrent, so that several connections are pooled
 		go func() { calls <- get(5 * time.Second) }()
 	}
 	for range cap(calls) {
 		is.NoErr(<-calls)
 	}
-	q.hush()
+	s.stall()
 	is.True(get(100*time.Millisecond) != nil)
-	is.Equal(silent.Load(), nil) // a host that is down looks the same so far
+	is.Equal(stalledHost.Load(), nil) // not distinguishable from an unreachable host yet
 	is.NoErr(get(5 * time.Second))
 	at, err := url.Parse(server.URL)
 	is.NoErr(err)
-	is.Equal(silent.Load(), at.Host)
+	is.Equal(stalledHost.Load(), at.Host)
 }
 
-func TestDialerBoundsSilence(t *testing.T) {
+func TestDialerSetsUserTimeout(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
@@ -90,5 +90,5 @@
 		got, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	is.NoErr(err)
-	is.Equal(got, int(unackedMost.Milliseconds()))
+	is.Equal(got, int(userTimeout.Milliseconds()))
 }
--- a/src/hangup/hangup.go
+++ b/src/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup keeps a hangup signal from ending a process from its first
-// moments on: it depends on next to nothing, so that it is initialized before
-// the libraries. Whoever acts on the signal asks for it by os/signal.
+// Package hangup ignores SIGHUP from process start, before other packages are
+// initialized: its only imports are os/signal and syscall. Use os/signal.Notify
+// to handle the signal.
 package hangup
 
 import (
