--- a/src/telemetry/count.go
+++ b/src/telemetry/count.go
@@ -9,27 +9,28 @@
 	"github.com/crankridge/crankridge/src/conn"
 )
 
-// Traffic counts the bytes of one channel's connections, headers included.
+// Traffic counts the bytes, protocol headers included, that pass over a set of
+// connections.
 type Traffic struct{ In, Out atomic.Int64 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	t *Traffic
+	traffic *Traffic
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.t.In.Add(int64(n))
+	c.traffic.In.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.t.Out.Add(int64(n))
+	c.traffic.Out.Add(int64(n))
 	return n, err
 }
 
-// Dial returns a dial function whose connections are counted.
+// Dial returns a dial function whose connections are counted in t.
 func (t *Traffic) Dial(timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	d := conn.Dialer(timeout)
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -37,22 +38,22 @@
 		if err != nil {
 			return nil, err
 		}
-		return countedConn{c, t}, nil
+		return countingConn{c, t}, nil
 	}
 }
 
-// Listen wraps a listener so that its connections are counted.
-func (t *Traffic) Listen(ln net.Listener) net.Listener { return countedListener{ln, t} }
+// Listen wraps ln so that accepted connections are counted in t.
+func (t *Traffic) Listen(ln net.Listener) net.Listener { return countingListener{ln, t} }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
-	t *Traffic
+	traffic *Traffic
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.t}, nil
+	return countingConn{c, l.traffic}, nil
 }
--- a/src/telemetry/dependency.go
+++ b/src/telemetry/dependency.go
@@ -7,44 +7,46 @@
 	"k8s.io/klog/v2"
 )
 
-// Dependency logs when something that the process needs is lost and when it
-// is back, one line each however often it is tried between.
+// Dependency tracks whether a service or peer that the process relies on is
+// reachable. It logs one line when it becomes unavailable and one when it
+// recovers, regardless of the number of attempts in between.
 type Dependency struct {
-	Name string // what it is, for the log
+	Name string // as shown in log lines
 	Now  func() time.Time
 
-	mu   sync.Mutex
-	lost time.Time // zero while it is well
+	mu     sync.Mutex
+	lostAt time.Time // zero while available
 }
 
-// Failed notes that a use of it failed with err.
+// Failed records a failed use.
 func (d *Dependency) Failed(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.lost.IsZero() {
+	if !d.lostAt.IsZero() {
 		return
 	}
-	d.lost = d.Now()
+	d.lostAt = d.Now()
 	klog.InfoS("dependency_lost", "name", d.Name, "err", err)
 }
 
-// Well notes that a use of it succeeded.
+// Succeeded records a successful use.
 func (d *Dependency) Succeeded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lost.IsZero() {
+	if d.lostAt.IsZero() {
 		return
 	}
-	klog.InfoS("dependency_back", "name", d.Name, "after_ms", d.Now().Sub(d.lost).Milliseconds())
-	d.lost = time.Time{}
+	klog.InfoS("dependency_back", "name", d.Name, "after_ms", d.Now().Sub(d.lostAt).Milliseconds())
+	d.lostAt = time.Time{}
 }
 
-// LostFor is how long it has been lost; 0 while it is well.
+// OutageDuration returns how long the dependency has been unavailable, or 0 while
+// it is available.
 func (d *Dependency) OutageDuration() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lost.IsZero() {
+	if d.lostAt.IsZero() {
 		return 0
 	}
-	return d.Now().Sub(d.lost)
+	return d.Now().Sub(d.lostAt)
 }
--- a/src/telemetry/instruments.go
+++ b/src/telemetry/instruments.go
@@ -12,11 +12,11 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// secondsBounds are the buckets of all histograms of times, in seconds.
-var secondsBounds = []float64{.0005, .001, .002, .005, .01, .02, .031, .05, .1, .2, .4, .81, 1.5, 3, 6, 12, 30}
+// durationBuckets are the histogram bucket bounds of all durations, in seconds.
+var durationBuckets = []float64{.0005, .001, .002, .005, .01, .02, .031, .05, .1, .2, .4, .81, 1.5, 3, 6, 12, 30}
 
-// instruments makes the instruments of one process, all named with a prefix,
-// and serves them. The errors of all that were made are in err.
+// instruments creates the metric instruments of one process under a common name
+// prefix and serves them. err joins the errors of all instruments created.
 type instruments struct {
 	meter   metric.Meter
 	handler http.Handler
@@ -37,24 +37,22 @@
 	}, nil
 }
 
-// counter makes a counter.
-func (i *instruments) counter(name, what string) metric.Int64Counter {
-	c, err := i.meter.Int64Counter(i.prefix+name, metric.WithDescription(what))
+func (i *instruments) counter(name, help string) metric.Int64Counter {
+	c, err := i.meter.Int64Counter(i.prefix+name, metric.WithDescription(help))
 	i.err = errors.Join(i.err, err)
 	return c
 }
 
-// gauge makes a gauge that keeps what was recorded last.
-func (i *instruments) gauge(name, what string) metric.Int64Gauge {
-	g, err := i.meter.Int64Gauge(i.prefix+name, metric.WithDescription(what))
+func (i *instruments) gauge(name, help string) metric.Int64Gauge {
+	g, err := i.meter.Int64Gauge(i.prefix+name, metric.WithDescription(help))
 	i.err = errors.Join(i.err, err)
 	return g
 }
 
-// seconds makes a histogram of times in seconds.
-func (i *instruments) seconds(name, what string) metric.Float64Histogram {
-	h, err := i.meter.Float64Histogram(i.prefix+name, metric.WithDescription(what), metric.WithUnit("s"),
-		metric.WithExplicitBucketBoundaries(secondsBounds...))
+// durationHistogram creates a histogram of durations in seconds.
+func (i *instruments) durationHistogram(name, help string) metric.Float64Histogram {
+	h, err := i.meter.Float64Histogram(i.prefix+name, metric.WithDescription(help), metric.WithUnit("s"),
+		metric.WithExplicitBucketBoundaries(durationBuckets...))
 	i.err = errors.Join(i.err, err)
 	return h
 }
--- a/src/telemetry/journal.go
+++ b/src/telemetry/journal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Decision is one entry of a journal: what was decided about whom, and why.
+// Decision is a journal entry: an action taken on a subject and the reason for it.
 type Decision struct {
 	At      time.Time `json:"at"`
 	Subject string    `json:"subject"`
@@ -13,17 +13,17 @@
 	Why     string    `json:"why,omitempty"`
 }
 
-// Journal is a bounded list of decisions, the oldest overwritten first.
+// Journal is a ring buffer of recent decisions.
 type Journal struct {
 	mu   sync.Mutex
 	ring []Decision
 	next int
 }
 
-// NewJournal returns a journal of so many entries.
+// NewJournal returns a journal that keeps the given number of entries.
 func NewJournal(entries int) *Journal { return &Journal{ring: make([]Decision, 0, entries)} }
 
-// Add enters a decision.
+// Add records a decision, replacing the oldest one if the journal is full.
 func (j *Journal) Add(subject, what, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -36,7 +36,8 @@
 	j.next = (j.next + 1) % cap(j.ring)
 }
 
-// About returns the decisions about a subject, oldest first; "" means all.
+// ForSubject returns the decisions on a subject, oldest first. An empty subject
+// matches all.
 func (j *Journal) ForSubject(subject string) []Decision {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/src/telemetry/log.go
+++ b/src/telemetry/log.go
@@ -7,15 +7,14 @@
 	"sync/atomic"
 )
 
-// Bounds of the log.
 const (
-	logLines     = 4096 // lines that wait for their turn
-	logLineBytes = 4096 // a longer line is cut
+	maxQueuedLogLines = 4096
+	maxLogLineBytes   = 4096 // longer lines are truncated
 )
 
-// LogWriter passes lines on from a goroutine of its own and never blocks its
-// writer: when the reader of the output is too slow, lines are dropped and
-// the number of them is written once there is room.
+// LogWriter writes log lines from a separate goroutine and never blocks its
+// caller. When the output is too slow, lines are dropped and their number is
+// logged as soon as the output accepts data again.
 type LogWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -23,17 +22,18 @@
 	out     io.Writer
 }
 
-// NewLogWriter returns a writer that passes lines on to out.
+// NewLogWriter returns a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{lines: make(chan []byte, logLines), out: out}
+	w := &LogWriter{lines: make(chan []byte, maxQueuedLogLines), out: out}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It always reports success.
+// Write queues one line, or drops it if the queue is full. It always reports
+// success.
 func (w *LogWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line[:min(len(line), logLineBytes)]...)
-	if len(line) > logLineBytes {
+	kept := append([]byte(nil), line[:min(len(line), maxLogLineBytes)]...)
+	if len(line) > maxLogLineBytes {
 		kept[len(kept)-1] = '\n'
 	}
 	w.pending.Add(1)
@@ -46,17 +46,17 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines dropped and not told yet.
+// Dropped returns the number of dropped lines that have not been reported yet.
 func (w *LogWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Flush waits until the lines taken so far are written.
+// Flush blocks until all queued lines have been written.
 func (w *LogWriter) Flush() { w.pending.Wait() }
 
 func (w *LogWriter) run() {
 	for line := range w.lines {
-		if lost := w.dropped.Load(); lost > 0 {
-			_, _ = fmt.Fprintf(w.out, "log_dropped lines=%d\n", lost)
-			w.dropped.Add(-lost) // told only now: the output may have blocked
+		if count := w.dropped.Load(); count > 0 {
+			_, _ = fmt.Fprintf(w.out, "log_dropped lines=%d\n", count)
+			w.dropped.Add(-count) // subtracted after the write, which may block
 		}
 		_, _ = w.out.Write(line)
 		w.pending.Done()
--- a/src/telemetry/log_test.go
+++ b/src/telemetry/log_test.go
@@ -10,64 +10,65 @@
 	"github.com/matryer/is"
 )
 
-// slowOutput takes nothing until it is opened.
-type slowOutput struct {
-	mu      sync.Mutex
-	entered chan struct{} // told, where it is set, of each write that begins
-	open    chan struct{}
-	got     bytes.Buffer
+// blockingOutput blocks every write until unblock is closed.
+type blockingOutput struct {
+	mu           sync.Mutex
+	writeStarted chan struct{} // if set, receives a value when a write begins
+	unblock      chan struct{}
+	written      bytes.Buffer
 }
 
-func (o *slowOutput) Write(p []byte) (int, error) {
-	if o.entered != nil {
-		o.entered <- struct{}{}
+func (o *blockingOutput) Write(p []byte) (int, error) {
+	if o.writeStarted != nil {
+		o.writeStarted <- struct{}{}
 	}
-	<-o.open
+	<-o.unblock
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.got.Write(p)
+	return o.written.Write(p)
 }
 
-func TestLogNeverBlocksAndTellsWhatItDropped(t *testing.T) {
+// A slow output must not block the process.
+func TestLogWriterDropsLinesInsteadOfBlocking(t *testing.T) {
 	is := is.New(t)
-	out := &slowOutput{open: make(chan struct{})}
+	out := &blockingOutput{unblock: make(chan struct{})}
 	w := NewLogWriter(out)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * logLines {
+		for range 3 * maxQueuedLogLines {
 			_, _ = w.Write([]byte("a line\n"))
 		}
-		_, _ = w.Write(bytes.Repeat([]byte("x"), 10*logLineBytes))
+		_, _ = w.Write(bytes.Repeat([]byte("x"), 10*maxLogLineBytes))
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
 		t.Fatal("a write blocked")
 	}
-	is.True(w.Dropped() >= 2*logLines-1)
-	close(out.open)
+	is.True(w.Dropped() >= 2*maxQueuedLogLines-1)
+	close(out.unblock)
 	w.Flush()
 	_, _ = w.Write([]byte("after\n"))
 	w.Flush()
-	text := out.got.String()
+	text := out.written.String()
 	is.True(strings.Contains(text, "log_dropped lines="))
 	is.True(strings.HasSuffix(text, "after\n"))
-	is.True(len(text) < (logLines+10)*logLineBytes)
+	is.True(len(text) < (maxQueuedLogLines+10)*maxLogLineBytes)
 }
 
-func TestDroppedLinesCountUntilTheyAreTold(t *testing.T) {
+func TestDroppedLinesCountUntilReported(t *testing.T) {
 	is := is.New(t)
-	out := &slowOutput{entered: make(chan struct{}, 2*logLines), open: make(chan struct{})}
-	w := &LogWriter{lines: make(chan []byte, logLines), out: out}
-	for range logLines + 10 {
+	out := &blockingOutput{writeStarted: make(chan struct{}, 2*maxQueuedLogLines), unblock: make(chan struct{})}
+	w := &LogWriter{lines: make(chan []byte, maxQueuedLogLines), out: out}
+	for range maxQueuedLogLines + 10 {
 		_, _ = w.Write([]byte("a line\n"))
 	}
 	go w.run()
-	<-out.entered // it is telling of the loss, and the output takes nothing
+	<-out.writeStarted // the report of dropped lines is being written, and blocks
 	is.Equal(w.Dropped(), int64(10))
-	close(out.open)
+	close(out.unblock)
 	w.Flush()
 	is.Equal(w.Dropped(), int64(0))
-	is.True(strings.HasPrefix(out.got.String(), "log_dropped lines=10\n"))
+	is.True(strings.HasPrefix(out.written.String(), "log_dropped lines=10\n"))
 }
