--- a/src/view/follow.go
+++ b/src/view/follow.go
@@ -12,92 +12,92 @@
 )
 
 const (
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	retryInitial = 100 * time.Millisecond
+	retryMax     = 400 * time.Millisecond
 )
 
-// Watchable is a key-value service that can be listed and watched.
+// Watchable is a key-value service that supports listing and watching.
 type Watchable interface {
 	List(ctx context.Context, prefix string) ([]ports.Item, int64, error)
 	Watch(ctx context.Context, prefix string, from int64, each func(ports.Batch)) error
 }
 
-// Follow keeps the view in step with the keys below prefix until ctx ends: a
-// listing first, then a watch from the revision after it. A broken watch is
-// taken up where it ended; only a compacted history costs another listing.
+// Follow keeps the view up to date with the keys under prefix until ctx is
+// canceled: it lists them once and then watches from the next revision. A broken
+// watch resumes where it ended; a new listing is needed only if the history has
+// been compacted.
 func (v *View) Follow(ctx context.Context, kv Watchable, prefix string) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = retryFirst
-	wait.MaxInterval = retryMost
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = retryInitial
+	retry.MaxInterval = retryMax
 	store := &telemetry.Dependency{Name: "store", Now: time.Now}
-	well := func() {
-		wait.Reset()
+	onSuccess := func() {
+		retry.Reset()
 		store.Succeeded()
 	}
-	list := true
+	needsList := true
 	for ctx.Err() == nil {
-		err := v.step(ctx, kv, prefix, &list, well)
+		err := v.syncOnce(ctx, kv, prefix, &needsList, onSuccess)
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, ports.ErrCompacted) || errors.Is(err, context.Canceled) {
-			continue // what was missed is fetched at once
+			continue // reconnect without delay
 		}
 		store.Failed(err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-func (v *View) step(ctx context.Context, kv Watchable, prefix string, list *bool, well func()) error {
-	if *list {
+func (v *View) syncOnce(ctx context.Context, kv Watchable, prefix string, needsList *bool, onSuccess func()) error {
+	if *needsList {
 		items, rev, err := kv.List(ctx, prefix)
 		if err != nil {
 			return err
 		}
 		v.ApplyList(items, rev)
-		*list = false
+		*needsList = false
 	}
-	// Peers may have moved the view past what this watch saw; starting at the
-	// complete revision is right in both cases.
+	// Peers may have advanced the view beyond the previous watch, so resume from
+	// the complete revision.
 	from, _ := v.Complete()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	v.watching(from, cancel)
+	v.setWatched(from, cancel)
 	err := kv.Watch(ctx, prefix, from+1, func(b ports.Batch) {
-		well()
+		onSuccess()
 		v.ApplyBatch(b)
-		v.watching(b.Revision, cancel)
+		v.setWatched(b.Revision, cancel)
 	})
 	if errors.Is(err, ports.ErrCompacted) {
-		*list = true
+		*needsList = true
 	}
 	return err
 }
 
-// watching notes how far the view's own watch has shown everything.
-func (v *View) watching(upTo int64, cancel context.CancelFunc) {
+func (v *View) setWatched(upTo int64, cancel context.CancelFunc) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.watched, v.cutWatch = upTo, cancel
+	v.watchedRevision, v.cancelWatch = upTo, cancel
 }
 
-// CutIfDeaf ends the view's own watch when it has not shown what the view has
-// held since before: the changes came by another way, so the watch is deaf. A
-// new one begins at once. It takes the complete revision of an earlier look
-// and reports whether the watch was cut.
-func (v *View) CancelStalledWatch(before int64) bool {
+// CancelStalledWatch cancels the view's own watch, which is then restarted, if it
+// has not delivered the changes up to rev. rev is the complete revision of the
+// view at an earlier time: changes up to it have arrived through peers, so the
+// watch no longer delivers. It reports whether the watch was canceled.
+func (v *View) CancelStalledWatch(rev int64) bool {
 	v.mu.Lock()
-	cut := v.cutWatch
-	deaf := cut != nil && v.watched < before
-	if deaf {
-		v.cutWatch = nil
+	cancel := v.cancelWatch
+	stalled := cancel != nil && v.watchedRevision < rev
+	if stalled {
+		v.cancelWatch = nil
 	}
 	v.mu.Unlock()
-	if deaf {
-		cut()
+	if stalled {
+		cancel()
 	}
-	return deaf
+	return stalled
 }
--- a/src/view/view.go
+++ b/src/view/view.go
@@ -1,9 +1,9 @@
-// Package view is a node's copy of what the key-value service holds for the
-// system: resources, node records, the upstream list and the shard map.
+// Package view keeps a node's copy of the system's keys in the key-value
+// service: resources, node records, the upstream list and the shard map.
 //
-// A view only moves forward. Each key keeps the highest revision ever offered,
-// removals included, so that no stale read, late watch or slow peer can bring
-// an older version back.
+// A view never moves backward. It keeps the highest revision offered for each
+// key, deletions included, so that stale reads, delayed watches and slow peers
+// cannot restore an older version.
 package view
 
 import (
@@ -16,38 +16,38 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Prefix is the part of the key space that belongs to the system.
+// Prefix is the prefix of all keys of the system.
 const Prefix = "crankridge/"
 
-// Source tells who offered a change.
+// Source is the origin of a change.
 type Source string
 
-// The sources of changes.
 const (
 	FromKV   Source = "kv"
 	FromPeer Source = "peer"
 )
 
-// View is safe for use by several goroutines.
+// View is safe for concurrent use.
 type View struct {
 	mu       sync.Mutex
 	items    map[string]ports.Item
 	complete int64
-	// whole is the revision up to which removals may be unknown here: a
-	// listing shows what stands, not what was removed before it.
-	whole   int64
-	removed int // removals remembered
-	source  Source
-	changed chan struct{}
-	// watched is how far the own watch has shown everything; cutWatch ends it.
-	watched  int64
-	cutWatch context.CancelFunc
-
-	// log keeps the last changes for those who follow them one by one; it is
-	// whole from revision floor on.
-	log   []ports.Item
-	kept  int
-	floor int64
+	// tombstoneFloor is the revision up to which tombstones may be missing: a
+	// listing does not contain the keys deleted before it.
+	tombstoneFloor int64
+	tombstones     int // number of deleted items
+	source         Source
+	changed        chan struct{}
+	// watchedRevision is the revision up to which the view's own watch has
+	// delivered all changes; cancelWatch ends that watch.
+	watchedRevision int64
+	cancelWatch     context.CancelFunc
+
+	// log holds the latest changes, at most logCapacity. It contains every change
+	// above revision logFloor.
+	log         []ports.Item
+	logCapacity int
+	logFloor    int64
 }
 
 // New returns an empty view.
@@ -55,19 +55,20 @@
 	return &View{items: map[string]ports.Item{}, changed: make(chan struct{})}
 }
 
-// NewLogged returns an empty view that also keeps its last changes, up to kept.
-func NewWithLog(kept int) *View {
+// NewWithLog returns an empty view that also keeps its latest logCapacity changes.
+func NewWithLog(logCapacity int) *View {
 	v := New()
-	v.kept = kept
+	v.logCapacity = logCapacity
 	return v
 }
 
-// Log returns the changes above revision rev, removals included, in order,
-// and the complete revision. ok is false when the log does not reach back so far.
+// ChangesSince returns the logged changes above revision rev, deletions included,
+// in order, and the complete revision. ok is false if the log has been truncated
+// above rev.
 func (v *View) ChangesSince(rev int64) (items []ports.Item, complete int64, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if rev < v.floor {
+	if rev < v.logFloor {
 		return nil, v.complete, false
 	}
 	for _, it := range v.log {
@@ -78,116 +79,117 @@
 	return items, v.complete, true
 }
 
-// Delta is what one view gives another.
+// Delta is a set of changes that one view passes to another.
 type Delta struct {
 	Items    []ports.Item
-	Complete int64 // revision up to which nothing is missing after merging
-	// Whole says that Items are all that stands, so that what is not among
-	// them was removed; else they are what changed, removals included.
+	Complete int64 // revision up to which the receiver lacks nothing after merging
+	// Whole marks a snapshot: Items are all live items, and any other key has
+	// been deleted. Otherwise Items are the changes, deletions included.
 	Whole bool
 }
 
-// ApplyList merges a whole listing read at revision rev. A key that the
-// listing lacks was removed by then, unless the view holds a later revision.
+// ApplyList merges a full listing read at revision rev. Keys missing from the
+// listing are deleted unless the view holds a later revision of them.
 func (v *View) ApplyList(items []ports.Item, rev int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.list(items, rev, FromKV)
+	v.applyListing(items, rev, FromKV)
 }
 
-func (v *View) list(items []ports.Item, rev int64, src Source) {
+func (v *View) applyListing(items []ports.Item, rev int64, src Source) {
 	if rev < v.complete {
 		return
 	}
 	listed := make(map[string]bool, len(items))
-	moved := false
+	updated := false
 	for _, it := range items {
 		listed[it.Key] = true
-		moved = v.offer(it) || moved
+		updated = v.applyItem(it) || updated
 	}
 	for key, it := range v.items {
 		if !listed[key] && !it.Deleted && it.Revision <= rev {
-			moved = v.offer(ports.Item{Key: key, Revision: rev, Deleted: true}) || moved
+			updated = v.applyItem(ports.Item{Key: key, Revision: rev, Deleted: true}) || updated
 		}
 	}
-	v.whole = max(v.whole, rev)
-	// A listing skips what lay between; the log begins anew.
-	v.log, v.floor = nil, rev
-	v.finish(moved, rev, src)
+	v.tombstoneFloor = max(v.tombstoneFloor, rev)
+	// The changes between the previous revision and the listing are unknown.
+	v.log, v.logFloor = nil, rev
+	v.advance(updated, rev, src)
 }
 
-// ApplyBatch merges one message of an unbroken watch that began no later than
-// the view's complete revision.
+// ApplyBatch merges one message of an uninterrupted watch that started no later
+// than the view's complete revision.
 func (v *View) ApplyBatch(b ports.Batch) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.merge(b.Items, b.Revision, FromKV)
 }
 
-// ApplyPeer merges what a peer gave for a complete revision that this view
-// had at the time of asking, or has passed since.
+// ApplyPeer merges a delta from a peer. The delta must have been made for the
+// current complete revision of this view or an earlier one.
 func (v *View) ApplyPeer(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if d.Whole {
-		v.list(d.Items, d.Complete, FromPeer)
+		v.applyListing(d.Items, d.Complete, FromPeer)
 		return
 	}
 	v.merge(d.Items, d.Complete, FromPeer)
 }
 
 func (v *View) merge(items []ports.Item, complete int64, src Source) {
-	moved := false
+	updated := false
 	for _, it := range items {
-		moved = v.offer(it) || moved
+		updated = v.applyItem(it) || updated
 	}
-	v.finish(moved, complete, src)
+	v.advance(updated, complete, src)
 }
 
-// offer takes the item when it is newer than what the view holds.
-func (v *View) offer(it ports.Item) bool {
+// applyItem stores the item if it is newer than the one held, and reports whether
+// it did.
+func (v *View) applyItem(it ports.Item) bool {
 	old, ok := v.items[it.Key]
-	// What is not held although the view is whole up to it was removed since.
-	if ok && old.Revision >= it.Revision || !ok && it.Revision <= v.whole {
+	// An unknown key at or below tombstoneFloor has been deleted since.
+	if ok && old.Revision >= it.Revision || !ok && it.Revision <= v.tombstoneFloor {
 		return false
 	}
 	v.items[it.Key] = it
 	if it.Deleted && !old.Deleted {
-		v.removed++
+		v.tombstones++
 	}
 	if !it.Deleted && old.Deleted {
-		v.removed--
+		v.tombstones--
 	}
-	if v.kept > 0 {
+	if v.logCapacity > 0 {
 		v.log = append(v.log, it)
-		if len(v.log) > v.kept {
-			v.floor = v.log[0].Revision
+		if len(v.log) > v.logCapacity {
+			v.logFloor = v.log[0].Revision
 			v.log = v.log[1:]
 		}
 	}
 	return true
 }
 
-func (v *View) finish(moved bool, complete int64, src Source) {
+func (v *View) advance(updated bool, complete int64, src Source) {
 	if complete > v.complete {
 		v.complete = complete
 		v.source = src
 	}
-	for v.removed > removalsKept {
-		v.forget()
+	for v.tombstones > maxTombstones {
+		v.compactTombstones()
 	}
-	if moved {
+	if updated {
 		close(v.changed)
 		v.changed = make(chan struct{})
 	}
 }
 
-// removalsKept bounds the removals a view remembers.
-const removalsKept = 2000
+// maxTombstones bounds the number of tombstones kept.
+const maxTombstones = 2000
 
-// forget drops the older half of the removals. Whoever is further behind than
-// these is given the whole view.
-func (v *View) forget() {
+// compactTombstones drops the older half of the tombstones. A peer that lags
+// behind them is sent a snapshot.
+func (v *View) compactTombstones() {
 	var revs []int64
 	for _, it := range v.items {
 		if it.Deleted {
@@ -197,15 +199,15 @@
 	slices.Sort(revs)
 	upTo := revs[len(revs)/2]
 	maps.DeleteFunc(v.items, func(_ string, it ports.Item) bool { return it.Deleted && it.Revision <= upTo })
-	v.removed = len(revs) - len(revs)/2 - 1
-	v.whole = max(v.whole, upTo)
+	v.tombstones = len(revs) - len(revs)/2 - 1
+	v.tombstoneFloor = max(v.tombstoneFloor, upTo)
 }
 
-// Since returns what a view that is complete up to rev lacks.
+// DeltaSince returns the changes that a view complete up to rev is missing.
 func (v *View) DeltaSince(rev int64) Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	d := Delta{Complete: v.complete, Whole: rev < v.whole}
+	d := Delta{Complete: v.complete, Whole: rev < v.tombstoneFloor}
 	for _, it := range v.items {
 		if d.Whole && !it.Deleted || !d.Whole && it.Revision > rev {
 			d.Items = append(d.Items, it)
@@ -215,7 +217,7 @@
 	return d
 }
 
-// Get returns the live item of a key.
+// Get returns the item at key unless it is deleted.
 func (v *View) Get(key string) (ports.Item, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -223,7 +225,7 @@
 	return it, ok && !it.Deleted
 }
 
-// List returns the live items below prefix, sorted by key.
+// List returns the items whose keys start with prefix, sorted by key.
 func (v *View) List(prefix string) []ports.Item {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -237,14 +239,15 @@
 	return out
 }
 
-// Complete is the revision up to which nothing is missing, and who told so.
+// Complete returns the revision up to which the view has every change, and the
+// source that last advanced it.
 func (v *View) Complete() (int64, Source) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.complete, v.source
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/src/view/view_test.go
+++ b/src/view/view_test.go
@@ -11,14 +11,14 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// store is the key-value service with its whole history.
+// store is a key-value service that keeps its full history.
 type store struct{ history []ports.Item }
 
 func (s *store) write(key string, deleted bool) {
 	s.history = append(s.history, ports.Item{Key: key, Revision: int64(len(s.history) + 1), Deleted: deleted})
 }
 
-// at lists what stood at revision rev, as a stale read of that age would.
+// at lists the live items at revision rev, like a stale read.
 func (s *store) at(rev int) []ports.Item {
 	last := map[string]ports.Item{}
 	for _, it := range s.history[:rev] {
@@ -41,8 +41,8 @@
 	return out
 }
 
-// Whatever order of writes, stale lists, late watches and exchanges, no view
-// goes back, and all are equal once everything has been exchanged.
+// Under any order of writes, stale lists, delayed watches and exchanges, no key
+// goes back to an older revision, and all views converge.
 func TestViewsOnlyMoveForwardAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
@@ -79,14 +79,14 @@
 		views[0].ApplyList(s.at(len(s.history)), int64(len(s.history)))
 		for _, v := range views[1:] {
 			v.ApplyPeer(views[0].DeltaSince(v.complete))
-			if !maps.Equal(live(v), live(views[0])) {
-				t.Fatalf("%v and %v", live(v), live(views[0]))
+			if !maps.Equal(liveRevisions(v), liveRevisions(views[0])) {
+				t.Fatalf("%v and %v", liveRevisions(v), liveRevisions(views[0]))
 			}
 		}
 	})
 }
 
-// checkComplete compares a view with what stood at the revision it claims to be complete to.
+// checkComplete fails if the view lacks a live item of its complete revision.
 func checkComplete(t *rapid.T, s *store, v *View) {
 	for _, it := range s.at(int(v.complete)) {
 		if v.items[it.Key].Revision < it.Revision {
@@ -95,7 +95,7 @@
 	}
 }
 
-func live(v *View) map[string]int64 {
+func liveRevisions(v *View) map[string]int64 {
 	out := map[string]int64{}
 	for _, it := range v.List("") {
 		out[it.Key] = it.Revision
@@ -103,23 +103,23 @@
 	return out
 }
 
-func TestRemovalsAreBounded(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	is := is.New(t)
 	v, behind := New(), New()
 	s := &store{}
-	for i := range 3 * removalsKept {
+	for i := range 3 * maxTombstones {
 		s.write(fmt.Sprintf("k%d", i), false)
 		s.write(fmt.Sprintf("k%d", i), true)
 	}
 	s.write("last", false)
 	behind.ApplyBatch(ports.Batch{Items: s.history[:1], Revision: 1})
 	v.ApplyBatch(ports.Batch{Items: s.history, Revision: int64(len(s.history))})
-	is.True(len(v.items) <= removalsKept+1)
+	is.True(len(v.items) <= maxTombstones+1)
 	behind.ApplyPeer(v.DeltaSince(behind.complete))
-	is.Equal(live(behind), live(v)) // k0's removal is forgotten by name, not in effect
+	is.Equal(liveRevisions(behind), liveRevisions(v)) // k0's tombstone was dropped, but k0 stays deleted
 }
 
-func TestLogTellsWhenItDoesNotReachBack(t *testing.T) {
+func TestChangesSinceReportsTruncatedLog(t *testing.T) {
 	is := is.New(t)
 	v := NewWithLog(3)
 	for rev := range int64(5) {
