--- a/src/member/node.go
+++ b/src/member/node.go
@@ -1,5 +1,5 @@
-// Package member owns who the nodes are: their records in the key-value
-// service, what they tell each other, and which of them are suspected.
+// Package member tracks the nodes of the system: their records in the key-value
+// service, the load they report, and which of them are suspected to be down.
 package member
 
 import (
@@ -14,13 +14,15 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Prefix is where node records stand; GoneKey lists VMs that run no more.
+// Prefix is the prefix of the keys of node records. The value at TerminatedVMsKey
+// lists the VMs that have been terminated.
 const (
 	Prefix           = view.Prefix + "nodes/"
 	TerminatedVMsKey = view.Prefix + "gone"
 )
 
-// Node is a node's record.
+// Node is the record of a node. Callers, Peers and Operators are the addresses
+// that it serves to clients, other nodes and operators.
 type Node struct {
 	Name          string `json:"name"`
 	Incarnation   string `json:"incarnation"`
@@ -33,7 +35,7 @@
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-// Key is the place of the record in the key space.
+// Key returns the record's key in the key-value service.
 func (n Node) Key() string { return Prefix + n.Name }
 
 func decodeNode(it ports.Item) (Node, error) {
@@ -43,34 +45,36 @@
 }
 
 const (
-	// heardFor keeps a node whose record is missing for as long as it is heard.
-	heardFor = 10 * time.Second
-	// suspectFor is how long a failed call steers work away.
-	suspectFor = 3 * time.Second
+	// heartbeatTTL is how long a node without a record is kept after its last
+	// message.
+	heartbeatTTL = 10 * time.Second
+	// suspectTTL is how long new work avoids a node after a failed call.
+	suspectTTL = 3 * time.Second
 )
 
-// Fleet is the nodes as one node knows them.
+// Fleet is one node's view of all nodes. The maps are keyed by node name unless
+// noted otherwise.
 type Fleet struct {
-	mu      sync.Mutex
-	now     func() time.Time
-	self    string
-	records map[string]Node
-	lapsed  map[string]Node // record gone, perhaps still heard
-	heard   map[string]time.Time
-	load    map[string]int
-	failed  map[string]time.Time // first failure since the last success
-	latest  map[string]time.Time // last failure
-	gone    map[string]bool      // VMs
-	told    map[string]time.Time // when other nodes last suspected a node
+	mu             sync.Mutex
+	now            func() time.Time
+	self           string
+	records        map[string]Node
+	lapsed         map[string]Node      // no longer recorded, but possibly still sending messages
+	heard          map[string]time.Time // last message
+	load           map[string]int       // requests in progress, as last reported
+	failing        map[string]time.Time // first failed call since the last success
+	lastFailure    map[string]time.Time // last failed call since the last success
+	terminated     map[string]bool      // by VM
+	peerSuspicions map[string]time.Time // last report that another node suspects the node
 }
 
-// NewFleet returns an empty fleet as seen by the node self.
+// NewFleet returns the empty fleet of the node named self.
 func NewFleet(self string, now func() time.Time) *Fleet {
 	return &Fleet{now: now, self: self, records: map[string]Node{}, lapsed: map[string]Node{}, heard: map[string]time.Time{},
-		load: map[string]int{}, failed: map[string]time.Time{}, latest: map[string]time.Time{}, gone: map[string]bool{}, told: map[string]time.Time{}}
+		load: map[string]int{}, failing: map[string]time.Time{}, lastFailure: map[string]time.Time{}, terminated: map[string]bool{}, peerSuspicions: map[string]time.Time{}}
 }
 
-// Update takes in the node records and the list of gone VMs of a view.
+// Update reads the node records and the list of terminated VMs from a view.
 func (f *Fleet) Update(v *view.View) {
 	records := map[string]Node{}
 	for _, it := range v.List(Prefix) {
@@ -78,12 +82,12 @@
 			records[strings.TrimPrefix(it.Key, Prefix)] = n
 		}
 	}
-	gone := map[string]bool{}
+	terminated := map[string]bool{}
 	if it, ok := v.Get(TerminatedVMsKey); ok {
 		var names []string
 		_ = json.Unmarshal(it.Value, &names)
 		for _, n := range names {
-			gone[n] = true
+			terminated[n] = true
 		}
 	}
 	f.mu.Lock()
@@ -96,17 +100,18 @@
 	for name := range records {
 		delete(f.lapsed, name)
 	}
-	f.records, f.gone = records, gone
+	f.records, f.terminated = records, terminated
 }
 
-// Nodes lists the live nodes by name: those with a record, and those whose
-// record lapsed but who are still heard from.
+// Nodes lists the live nodes by name: those with a record, and those whose record
+// is gone but that have sent a message within heartbeatTTL. Nodes on terminated
+// VMs are left out.
 func (f *Fleet) Nodes() []Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := maps.Clone(f.records)
 	for name, n := range f.lapsed {
-		if f.now().Sub(f.heard[name]) < heardFor || name == f.self {
+		if f.now().Sub(f.heard[name]) < heartbeatTTL || name == f.self {
 			all[name] = n
 		} else {
 			delete(f.lapsed, name)
@@ -114,7 +119,7 @@
 	}
 	var out []Node
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if !f.gone[all[name].VM] || all[name].VM == "" {
+		if !f.terminated[all[name].VM] || all[name].VM == "" {
 			out = append(out, all[name])
 		}
 	}
@@ -131,19 +136,19 @@
 	return Node{}, false
 }
 
-// Heard notes a message from a node and its load.
+// Heard records a message from a node and the load that it reported.
 func (f *Fleet) Heard(name string, load int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard[name] = f.now()
 	f.load[name] = load
-	delete(f.failed, name)
-	delete(f.latest, name)
+	delete(f.failing, name)
+	delete(f.lastFailure, name)
 }
 
-// Called notes the result of a call to the node at a peer address. When it is
-// the first failure since a success, it returns the node's name.
-func (f *Fleet) RecordCall(addr string, ok bool) (silent string) {
+// RecordCall records the result of a call to the node with peer address addr. It
+// returns the node's name if this is the first failure since a success.
+func (f *Fleet) RecordCall(addr string, ok bool) (newlyFailing string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := ""
@@ -156,73 +161,76 @@
 	case name == "":
 	case ok:
 		f.heard[name] = f.now()
-		delete(f.failed, name)
-		delete(f.latest, name)
+		delete(f.failing, name)
+		delete(f.lastFailure, name)
 	default:
-		_, since := f.failed[name]
+		_, since := f.failing[name]
 		if !since {
-			f.failed[name] = f.now()
-			silent = name
+			f.failing[name] = f.now()
+			newlyFailing = name
 		}
-		f.latest[name] = f.now()
+		f.lastFailure[name] = f.now()
 	}
-	return silent
+	return newlyFailing
 }
 
-// Told notes that another node suspects a node; true when that is news.
+// RecordPeerSuspicion records that another node suspects the node. It reports
+// whether no such report has been received within heartbeatTTL.
 func (f *Fleet) RecordPeerSuspicion(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, known := f.told[name]
-	f.told[name] = f.now()
-	return !known || f.now().Sub(at) > heardFor
+	at, known := f.peerSuspicions[name]
+	f.peerSuspicions[name] = f.now()
+	return !known || f.now().Sub(at) > heartbeatTTL
 }
 
-// Doubtful tells whether this node or others suspected the node lately.
+// SuspectedByAny reports whether calls to the node are failing or another node
+// reported it as suspect within heartbeatTTL.
 func (f *Fleet) SuspectedByAny(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, failed := f.failed[name]; failed {
+	if _, failing := f.failing[name]; failing {
 		return true
 	}
-	at, known := f.told[name]
-	return known && f.now().Sub(at) < heardFor
+	at, known := f.peerSuspicions[name]
+	return known && f.now().Sub(at) < heartbeatTTL
 }
 
-// Suspect tells whether calls to the node failed lately. It steers work; it
-// never decides who may run a request.
+// RecentlyFailed reports whether a call to the node failed within suspectTTL. It
+// is a routing hint and must not decide who may run a request.
 func (f *Fleet) RecentlyFailed(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.latest[name]
-	return ok && f.now().Sub(at) < suspectFor
+	at, ok := f.lastFailure[name]
+	return ok && f.now().Sub(at) < suspectTTL
 }
 
-// SilentFor tells for how long calls to the node have failed without one success.
+// FailingFor returns the time from the first to the last failed call since a call
+// last succeeded, or 0 if none has failed.
 func (f *Fleet) FailingFor(name string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.failed[name]
+	at, ok := f.failing[name]
 	if !ok {
 		return 0
 	}
-	return f.latest[name].Sub(at)
+	return f.lastFailure[name].Sub(at)
 }
 
-// Load is the node's last reported number of requests in progress.
+// Load returns the number of requests in progress that the node last reported.
 func (f *Fleet) Load(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.load[name]
 }
 
-// Gone tells that an incarnation of a node runs no more, for certain: its name
-// is used by another incarnation, or the platform says that its VM is terminated.
+// Gone reports whether an incarnation of a node has certainly stopped: another
+// incarnation uses its name, or the platform reports its VM as terminated.
 func (f *Fleet) Gone(name, incarnation, vm string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n, ok := f.records[name]; ok && n.Incarnation != incarnation {
 		return true
 	}
-	return vm != "" && f.gone[vm]
+	return vm != "" && f.terminated[vm]
 }
--- a/src/member/register.go
+++ b/src/member/register.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	renewParts    = 3 // renewals within one lease
-	retryRegister = time.Second
-	spreadParts   = 6 // registrations after lapsed leases are spread over this part of one
+	renewalsPerLease      = 3
+	registerRetryInterval = time.Second
+	reregisterSpread      = 6 // registrations after lost leases are spread over this fraction of a lease
 )
 
 // Registrar keeps a node's record in the key-value service under a lease.
 type Registrar struct {
-	kv    *ports.KV
-	lease time.Duration
-	mu    sync.Mutex
-	node  Node
-	wake  chan struct{}
-	known string // value last stored
+	kv          *ports.KV
+	lease       time.Duration
+	mu          sync.Mutex
+	node        Node
+	wake        chan struct{}
+	storedValue string // record last written
 }
 
-// NewRegistrar returns the registrar of a node.
+// NewRegistrar returns a registrar that keeps the node's record under leases of
+// the given duration.
 func NewRegistrar(kv *ports.KV, node Node, lease time.Duration) *Registrar {
 	return &Registrar{kv: kv, node: node, lease: lease, wake: make(chan struct{}, 1)}
 }
 
-// SetLeaving marks the record as leaving.
+// SetLeaving marks the node as leaving and rewrites its record.
 func (r *Registrar) SetLeaving() {
 	r.mu.Lock()
 	r.node.Leaving = true
@@ -45,38 +46,38 @@
 	}
 }
 
-// Run registers and renews until ctx ends, then removes the record. An outage
-// of the service changes nothing: the next success registers again.
+// Run keeps the record registered until ctx is canceled and then removes it.
+// Failures of the key-value service are retried.
 func (r *Registrar) Run(ctx context.Context) {
 	var lease int64
 	wait := time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
-			r.remove(lease)
+			r.revokeLease(lease)
 			return
 		case <-r.wake:
 		case <-time.After(wait):
 		}
-		err := r.step(ctx, &lease)
-		wait = r.lease / renewParts
+		err := r.renewOrRegister(ctx, &lease)
+		wait = r.lease / renewalsPerLease
 		if err != nil && ctx.Err() == nil {
 			klog.V(1).InfoS("register", "err", err)
-			wait = retryRegister
+			wait = registerRetryInterval
 		}
 		if errors.Is(err, ports.ErrLeaseGone) {
-			// Many leases lapse together when an outage ends; a node without
-			// a record is still heard, so there is time to come back one by one.
-			wait = rand.N(r.lease / spreadParts)
+			// Many leases expire together when an outage ends. Nodes without a record
+			// stay listed while they send messages, so registration can be spread out.
+			wait = rand.N(r.lease / reregisterSpread)
 		}
 	}
 }
 
-func (r *Registrar) step(ctx context.Context, lease *int64) error {
+func (r *Registrar) renewOrRegister(ctx context.Context, lease *int64) error {
 	if *lease != 0 {
 		err := r.kv.KeepAlive(ctx, *lease)
 		if errors.Is(err, ports.ErrLeaseGone) {
-			*lease, r.known = 0, ""
+			*lease, r.storedValue = 0, ""
 		}
 		if err != nil {
 			return err
@@ -89,15 +90,15 @@
 		}
 		*lease = id
 	}
-	return r.store(ctx, *lease)
+	return r.writeRecord(ctx, *lease)
 }
 
-// store writes the record unless it is stored already.
-func (r *Registrar) store(ctx context.Context, lease int64) error {
+// writeRecord writes the record unless it is already stored.
+func (r *Registrar) writeRecord(ctx context.Context, lease int64) error {
 	r.mu.Lock()
 	raw, err := json.Marshal(r.node)
 	r.mu.Unlock()
-	if err != nil || r.known == string(raw) {
+	if err != nil || r.storedValue == string(raw) {
 		return err
 	}
 	have, _, _, err := r.kv.Get(ctx, r.node.Key())
@@ -106,19 +107,19 @@
 	}
 	swap, err := r.kv.PutIf(ctx, r.node.Key(), raw, have.Revision, lease)
 	if err == nil && swap.Succeeded {
-		r.known = string(raw)
+		r.storedValue = string(raw)
 	}
 	if err == nil && !swap.Succeeded {
-		return errors.New("record was changed meanwhile")
+		return errors.New("node record was modified concurrently")
 	}
 	return err
 }
 
-func (r *Registrar) remove(lease int64) {
+func (r *Registrar) revokeLease(lease int64) {
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), retryRegister)
+	ctx, cancel := context.WithTimeout(context.Background(), registerRetryInterval)
 	defer cancel()
 	_ = r.kv.Revoke(ctx, lease)
 }
