--- a/src/duty/order.go
+++ b/src/duty/order.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-// Order asks for a number of servers of a service in a failure domain.
+// Order requests servers of a service in a failure domain.
 type Order struct {
 	Service       string
 	FailureDomain string
 	Count         int
-	Spot          bool // reclaimable ones
+	Spot          bool // reclaimable servers
 }
 
-// OrderSender makes an order.
+// OrderSender places orders.
 type OrderSender interface {
 	OrderServers(ctx context.Context, term Term, o Order) error
 }
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -1,5 +1,5 @@
-// Package duty carries what one node at a time may do: it holds the lease of
-// the duties, seals and reports usage, and orders servers.
+// Package duty implements the duties that one node performs for the whole
+// system: it holds their lease, reports usage and orders servers.
 package duty
 
 import (
@@ -14,21 +14,22 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Times of the lease, as parts of its time to live.
+// Lease timing.
 const (
-	renewParts  = 4                      // renewals within one lease
-	CallTimeout = 700 * time.Millisecond // of one call under a term
-	safetyShare = 0.35                   // of a lease, in which its holder no longer begins calls
-	holdOff     = 200 * time.Millisecond // beyond a lease, for which a lease is held before it is given up early
+	renewalsPerLease = 4
+	CallTimeout      = 700 * time.Millisecond // for a call made under a term
+	safetyMargin     = 0.35                   // final fraction of the lease in which its holder starts no more calls
+	closeMargin      = 200 * time.Millisecond // added to the TTL for which a lease must be held before Close revokes it
 )
 
-// Term is one holder's time in duty. Fence grows from holder to holder.
+// Term is a period during which one node holds the duties. Fence is its fencing
+// token, which increases from term to term.
 type Term struct {
 	Holder string
 	Fence  int64
 }
 
-// Store is what the lease needs of the key-value service.
+// Store is the part of the key-value service that duties use.
 type Store interface {
 	Get(ctx context.Context, key string) (it ports.Item, ok bool, at int64, err error)
 	PutIf(ctx context.Context, key string, value []byte, rev, lease int64, remove ...string) (ports.SwapResult, error)
@@ -37,7 +38,7 @@
 	Revoke(ctx context.Context, id int64) error
 }
 
-// Lease is this node's side of the lease of the duties.
+// Lease acquires and renews the lease of the duties for one node.
 type Lease struct {
 	store  Store
 	key    string
@@ -50,21 +51,21 @@
 	closed bool
 }
 
-// leaseState is what is known of the own try at the lease.
+// leaseState is the state of this node's latest attempt to hold the lease.
 type leaseState struct {
-	lease   int64
-	nonce   string // value by which the own write is recognised
-	fence   int64  // 0 until the key is known to hold the nonce
-	renewed time.Time
-	held    time.Time // since when; zero before the key is known to hold the nonce
+	lease     int64
+	nonce     string // value that identifies this node's write
+	fence     int64  // 0 until the key is known to hold the nonce
+	renewedAt time.Time
+	heldSince time.Time // zero until the key is known to hold the nonce
 }
 
-// NewLease returns the lease kept at key, for the node holder.
+// NewLease returns the lease stored at key, to be acquired for the node holder.
 func NewLease(store Store, key, holder string, ttl time.Duration, now func() time.Time) *Lease {
 	return &Lease{store: store, key: key, holder: holder, ttl: ttl, now: now}
 }
 
-// Term returns the present term if this node may begin a call now.
+// Term returns the current term and whether this node may start a call now.
 func (l *Lease) Term() (Term, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,16 +73,16 @@
 	if l.closed || l.state.fence == 0 {
 		return Term{}, false
 	}
-	if now.Sub(l.state.renewed) >= time.Duration(float64(l.ttl)*(1-safetyShare)) {
+	if now.Sub(l.state.renewedAt) >= time.Duration(float64(l.ttl)*(1-safetyMargin)) {
 		return Term{}, false
 	}
 	return Term{l.holder, l.state.fence}, true
 }
 
-// Interval is the time between two steps.
-func (l *Lease) Interval() time.Duration { return l.ttl / renewParts }
+// Interval returns the time between calls of Step.
+func (l *Lease) Interval() time.Duration { return l.ttl / renewalsPerLease }
 
-// Step renews the lease, or tries to take it when taken is false.
+// Step renews the lease, or tries to acquire it if taken is false.
 func (l *Lease) Step(ctx context.Context, taken bool) {
 	l.mu.Lock()
 	state, closed := l.state, l.closed
@@ -95,101 +96,103 @@
 	case state.fence != 0:
 		l.renew(ctx, state)
 	case state.lease != 0:
-		l.resolve(ctx, state)
+		l.resolveWrite(ctx, state)
 	case !taken:
-		l.begin(ctx)
+		l.acquire(ctx)
 	}
 }
 
 func (l *Lease) renew(ctx context.Context, state leaseState) {
-	began := l.now()
+	start := l.now()
 	err := l.store.KeepAlive(ctx, state.lease)
 	if err == nil {
-		l.set(func(s *leaseState) { s.renewed = began })
+		l.updateState(func(s *leaseState) { s.renewedAt = start })
 		return
 	}
 	if errors.Is(err, ports.ErrLeaseGone) {
-		l.drop("lease lapsed")
+		l.reset("lease expired")
 	}
 }
 
-// begin makes a lease and writes the key under it if the key is absent.
-func (l *Lease) begin(ctx context.Context) {
-	began := l.now()
+// acquire grants a lease and creates the key under it if the key is absent.
+func (l *Lease) acquire(ctx context.Context) {
+	start := l.now()
 	id, err := l.store.Grant(ctx, l.ttl)
 	if err != nil {
 		return
 	}
-	state := leaseState{lease: id, nonce: l.holder + "/" + uuid.NewString(), renewed: began}
+	state := leaseState{lease: id, nonce: l.holder + "/" + uuid.NewString(), renewedAt: start}
 	l.mu.Lock()
 	l.state = state
 	l.mu.Unlock()
 	swap, err := l.store.PutIf(ctx, l.key, []byte(state.nonce), 0, id)
 	switch {
 	case err != nil:
-		// The write may still take effect; the next step reads it back.
+		// The write may still have been applied; the next step reads the key.
 	case swap.Succeeded:
-		l.hold(swap.Revision)
+		l.markHeld(swap.Revision)
 	default:
 		l.abandon(ctx, id)
 	}
 }
 
-// resolve finds out what became of a write whose answer was lost.
-func (l *Lease) resolve(ctx context.Context, state leaseState) {
-	began := l.now()
+// resolveWrite reads the key to determine the outcome of a write whose response
+// was lost.
+func (l *Lease) resolveWrite(ctx context.Context, state leaseState) {
+	start := l.now()
 	it, found, _, err := l.store.Get(ctx, l.key)
 	if err != nil {
 		return
 	}
 	if found && string(it.Value) == state.nonce {
 		if l.store.KeepAlive(ctx, state.lease) == nil {
-			l.set(func(s *leaseState) { s.renewed = began })
-			l.hold(it.Revision)
+			l.updateState(func(s *leaseState) { s.renewedAt = start })
+			l.markHeld(it.Revision)
 			return
 		}
 	}
 	l.abandon(ctx, state.lease)
 }
 
-func (l *Lease) hold(fence int64) {
-	l.set(func(s *leaseState) { s.fence, s.held = fence, l.now() })
+func (l *Lease) markHeld(fence int64) {
+	l.updateState(func(s *leaseState) { s.fence, s.heldSince = fence, l.now() })
 	klog.InfoS("duty_taken", "holder", l.holder, "fence", fence)
 }
 
-// abandon ends a lease, so that a late write under it cannot take effect.
+// abandon revokes a lease so that a delayed write under it cannot take effect.
 func (l *Lease) abandon(ctx context.Context, id int64) {
-	l.drop("not taken")
+	l.reset("not acquired")
 	_ = l.store.Revoke(ctx, id)
 }
 
-func (l *Lease) drop(why string) {
+func (l *Lease) reset(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state.fence != 0 {
-		klog.InfoS("duty_lost", "holder", l.holder, "fence", l.state.fence, "why", why)
+		klog.InfoS("duty_lost", "holder", l.holder, "fence", l.state.fence, "why", reason)
 	}
 	l.state = leaseState{}
 }
 
-func (l *Lease) set(change func(*leaseState)) {
+func (l *Lease) updateState(change func(*leaseState)) {
 	l.mu.Lock()
 	change(&l.state)
 	l.mu.Unlock()
 }
 
-// Close gives the lease up for good. Another node can take it at once, unless
-// it was held for less than a lease: then it is left to lapse, so that a node
-// that held it before does not act again within a lease of its own last act.
+// Close stops this node from holding the lease. It revokes a lease that was held
+// for at least the TTL, so that another node can acquire it at once. One held for
+// less is left to expire: otherwise a node that held the duties before could act
+// again within a TTL of its own last call.
 func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
 	l.closed = true
 	state := l.state
 	l.mu.Unlock()
-	short := state.fence != 0 && l.now().Sub(state.held) < l.ttl+holdOff
-	if state.lease == 0 || short {
+	heldBriefly := state.fence != 0 && l.now().Sub(state.heldSince) < l.ttl+closeMargin
+	if state.lease == 0 || heldBriefly {
 		return
 	}
-	l.drop("closed")
+	l.reset("closed")
 	_ = l.store.Revoke(ctx, state.lease)
 }
--- a/src/duty/term_test.go
+++ b/src/duty/term_test.go
@@ -12,51 +12,52 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-var errLost = errors.New("answer lost")
+var errLost = errors.New("response lost")
 
-// memoryStore is a store with one clock; lose makes the answers of writes lost.
+// memoryStore is an in-memory store with a settable clock. dropResponses makes
+// writes succeed but return an error.
 type memoryStore struct {
-	now      time.Time
-	revision int64
-	items    map[string]ports.Item
-	under    map[string]int64
-	leases   map[int64]time.Time
-	ttls     map[int64]time.Duration
-	lose     bool
-	down     bool
+	now           time.Time
+	revision      int64
+	items         map[string]ports.Item
+	keyLease      map[string]int64
+	leases        map[int64]time.Time
+	leaseTTLs     map[int64]time.Duration
+	dropResponses bool
+	down          bool
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{now: time.Unix(1000, 0), items: map[string]ports.Item{}, under: map[string]int64{}, leases: map[int64]time.Time{}, ttls: map[int64]time.Duration{}}
+	return &memoryStore{now: time.Unix(1000, 0), items: map[string]ports.Item{}, keyLease: map[string]int64{}, leases: map[int64]time.Time{}, leaseTTLs: map[int64]time.Duration{}}
 }
 
-func (s *memoryStore) lapse() {
+func (s *memoryStore) expireLeases() {
 	for id, ends := range s.leases {
 		if s.now.After(ends) {
-			s.drop(id)
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *memoryStore) drop(id int64) {
+func (s *memoryStore) removeLease(id int64) {
 	delete(s.leases, id)
-	for key, under := range s.under {
-		if under == id {
+	for key, keyLease := range s.keyLease {
+		if keyLease == id {
 			delete(s.items, key)
-			delete(s.under, key)
+			delete(s.keyLease, key)
 		}
 	}
 }
 
-func (s *memoryStore) outcome() error {
-	if s.lose {
+func (s *memoryStore) response() error {
+	if s.dropResponses {
 		return errLost
 	}
 	return nil
 }
 
 func (s *memoryStore) Get(_ context.Context, key string) (ports.Item, bool, int64, error) {
-	s.lapse()
+	s.expireLeases()
 	if s.down {
 		return ports.Item{}, false, 0, errLost
 	}
@@ -65,7 +66,7 @@
 }
 
 func (s *memoryStore) PutIf(_ context.Context, key string, value []byte, rev, lease int64, _ ...string) (ports.SwapResult, error) {
-	s.lapse()
+	s.expireLeases()
 	if s.down {
 		return ports.SwapResult{}, errLost
 	}
@@ -75,14 +76,14 @@
 		}
 	}
 	if s.items[key].Revision != rev {
-		return ports.SwapResult{Current: s.items[key]}, s.outcome()
+		return ports.SwapResult{Current: s.items[key]}, s.response()
 	}
 	s.revision++
 	s.items[key] = ports.Item{Key: key, Value: value, Revision: s.revision}
 	if lease != 0 {
-		s.under[key] = lease
+		s.keyLease[key] = lease
 	}
-	return ports.SwapResult{Succeeded: true, Revision: s.revision}, s.outcome()
+	return ports.SwapResult{Succeeded: true, Revision: s.revision}, s.response()
 }
 
 func (s *memoryStore) Grant(_ context.Context, ttl time.Duration) (int64, error) {
@@ -90,40 +91,42 @@
 		return 0, errLost
 	}
 	s.revision++
-	s.leases[s.revision], s.ttls[s.revision] = s.now.Add(ttl), ttl
-	return s.revision, s.outcome()
+	s.leases[s.revision], s.leaseTTLs[s.revision] = s.now.Add(ttl), ttl
+	return s.revision, s.response()
 }
 
 func (s *memoryStore) KeepAlive(_ context.Context, id int64) error {
-	s.lapse()
+	s.expireLeases()
 	if s.down {
 		return errLost
 	}
 	if _, ok := s.leases[id]; !ok {
 		return ports.ErrLeaseGone
 	}
-	s.leases[id] = s.now.Add(s.ttls[id])
-	return s.outcome()
+	s.leases[id] = s.now.Add(s.leaseTTLs[id])
+	return s.response()
 }
 
 func (s *memoryStore) Revoke(_ context.Context, id int64) error {
 	if s.down {
 		return errLost
 	}
-	s.drop(id)
-	return s.outcome()
+	s.removeLease(id)
+	return s.response()
 }
 
 const testTTL = 3 * time.Second
 
-// act is one call under a term, as the platform would see it.
-type act struct {
+// action is one call made under a term, as received by the platform.
+type action struct {
 	holder string
 	fence  int64
 	at     time.Time
 }
 
-func TestOneHolderActsAtATimeWithRisingFences(t *testing.T) {
+// Two holders must never act at the same time, and fencing tokens never decrease,
+// despite restarts, frozen processes and lost responses.
+func TestSingleHolderActsWithIncreasingFences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore()
 		clock := func() time.Time { return store.now }
@@ -133,19 +136,19 @@
 			leases[name] = NewLease(store, "duty", name, testTTL, clock)
 		}
 		frozen := map[string]time.Time{}
-		var acts []act
+		var actions []action
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			store.now = store.now.Add(time.Duration(rapid.IntRange(50, 700).Draw(t, "ms")) * time.Millisecond)
-			store.lose = rapid.IntRange(0, 9).Draw(t, "lose") == 0
+			store.dropResponses = rapid.IntRange(0, 9).Draw(t, "lose") == 0
 			store.down = rapid.IntRange(0, 19).Draw(t, "down") == 0
 			name := rapid.SampledFrom(names).Draw(t, "node")
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
-			case 0: // the process is killed and starts again
+			case 0: // the process is killed and restarted
 				leases[name] = NewLease(store, "duty", name, testTTL, clock)
-			case 1: // it is stopped, and starts again
+			case 1: // the process is stopped and restarted
 				leases[name].Close(context.Background())
 				leases[name] = NewLease(store, "duty", name, testTTL, clock)
-			case 2:
+			case 2: // the process is frozen for longer than a lease
 				frozen[name] = store.now.Add(4 * time.Second)
 			}
 			for _, n := range names {
@@ -155,49 +158,49 @@
 				_, taken := store.items["duty"]
 				leases[n].Step(context.Background(), taken)
 				if term, ok := leases[n].Term(); ok {
-					acts = append(acts, act{n, term.Fence, store.now})
+					actions = append(actions, action{n, term.Fence, store.now})
 				}
 			}
 		}
-		checkActs(t, acts)
+		checkActions(t, actions)
 	})
 }
 
-func checkActs(t *rapid.T, acts []act) {
+func checkActions(t *rapid.T, actions []action) {
 	holders := map[int64]string{}
-	for i, a := range acts {
+	for i, a := range actions {
 		if holder, ok := holders[a.fence]; ok && holder != a.holder {
 			t.Fatalf("fence %d used by %s and %s", a.fence, holder, a.holder)
 		}
 		holders[a.fence] = a.holder
-		if i > 0 && a.fence < acts[i-1].fence {
-			t.Fatalf("fence %d after %d", a.fence, acts[i-1].fence)
+		if i > 0 && a.fence < actions[i-1].fence {
+			t.Fatalf("fence %d after %d", a.fence, actions[i-1].fence)
 		}
 		between := false
-		for j := i - 1; j >= 0 && a.at.Sub(acts[j].at) < testTTL; j-- {
-			if acts[j].holder != a.holder {
+		for j := i - 1; j >= 0 && a.at.Sub(actions[j].at) < testTTL; j-- {
+			if actions[j].holder != a.holder {
 				between = true
 			} else if between {
-				t.Fatalf("%s acts again %s after its act, with another between", a.holder, a.at.Sub(acts[j].at))
+				t.Fatalf("%s acts again %s after its previous action, with another holder in between", a.holder, a.at.Sub(actions[j].at))
 			}
 		}
 	}
 }
 
-func TestLostAnswerOfTheLeaseIsReadBack(t *testing.T) {
+func TestAcquireIsReadBackAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
 	l := NewLease(store, "duty", "a", testTTL, func() time.Time { return store.now })
-	l.Step(context.Background(), false) // lease granted, key written
+	l.Step(context.Background(), false) // the lease is granted and the key written
 	_, ok := l.Term()
 	is.True(ok)
 	l = NewLease(store, "duty", "b", testTTL, func() time.Time { return store.now })
 	store.now = store.now.Add(4 * time.Second)
-	store.lapse()
+	store.expireLeases()
 	id, err := store.Grant(context.Background(), testTTL)
 	is.NoErr(err)
-	l.state = leaseState{lease: id, nonce: "b/1", renewed: store.now}
-	_, err = store.PutIf(context.Background(), "duty", []byte("b/1"), 0, id) // its answer was lost
+	l.state = leaseState{lease: id, nonce: "b/1", renewedAt: store.now}
+	_, err = store.PutIf(context.Background(), "duty", []byte("b/1"), 0, id) // its response was lost
 	is.NoErr(err)
 	l.Step(context.Background(), true)
 	term, ok := l.Term()
--- a/src/duty/usage.go
+++ b/src/duty/usage.go
@@ -10,18 +10,18 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of the usage reports, after the end of a window.
+// Timing of usage reports, relative to the end of a window.
 const (
-	settleSoon   = 700 * time.Millisecond  // counts of nodes that are heard have arrived by then
-	settleAfter  = 2500 * time.Millisecond // for the counts of nodes that are silent just now
-	tryFor       = 4 * time.Second         // beyond the time at which a report is due
-	windowsKept  = 8
-	sealsRemoved = 6 // windows after which a seal is removed
+	minSettleDelay      = 700 * time.Millisecond  // used when all nodes have been heard from recently
+	maxSettleDelay      = 2500 * time.Millisecond // allows for nodes that are silent
+	retryPeriod         = 4 * time.Second         // after a report is due
+	reportedWindowsKept = 8
+	sealRetention       = 6 // windows after which a seal is deleted
 )
 
-// Ledger sums up the runs that each node counted, by window and customer.
-// Counts are running sums of one life of a node, so that they may be told any
-// number of times and in any order.
+// Ledger holds the number of runs counted by each node, by window and customer.
+// Counts are cumulative within an incarnation of a node, so they may be merged
+// repeatedly and in any order.
 type Ledger struct {
 	mu     sync.Mutex
 	counts map[int64]map[usageKey]int64
@@ -36,20 +36,21 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{counts: map[int64]map[usageKey]int64{}} }
 
-// Take notes a node's running sum.
+// Merge records a node's cumulative count for a window. Of several, the highest
+// counts.
 func (l *Ledger) Merge(node string, incarnation, window int64, customer string, count int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	of := l.counts[window]
-	if of == nil {
-		of = map[usageKey]int64{}
-		l.counts[window] = of
+	windowCounts := l.counts[window]
+	if windowCounts == nil {
+		windowCounts = map[usageKey]int64{}
+		l.counts[window] = windowCounts
 	}
 	key := usageKey{node, incarnation, customer}
-	of[key] = max(of[key], count)
+	windowCounts[key] = max(windowCounts[key], count)
 }
 
-// Sum returns the runs of a window by customer.
+// Sum returns the number of runs in a window by customer.
 func (l *Ledger) Sum(window int64) map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +61,7 @@
 	return out
 }
 
-// Forget drops the windows before one.
+// DropBefore deletes all windows before the given one.
 func (l *Ledger) DropBefore(before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,13 +72,14 @@
 	}
 }
 
-// UsageSender makes a report.
+// UsageSender sends usage reports.
 type UsageSender interface {
 	ReportUsage(ctx context.Context, term Term, window int64, counts map[string]int64) error
 }
 
-// Usage reports each window once. A window's counts are sealed in the store
-// before they are sent, so that whoever sends them again sends the same.
+// UsageReporter reports the usage of each window. Before the first attempt it
+// seals the counts in the store, so that retries and later holders of the lease
+// report the same counts.
 type UsageReporter struct {
 	Ledger *Ledger
 	Lease  *Lease
@@ -85,50 +87,50 @@
 	Sender UsageSender
 	Prefix string // of the keys of seals
 	Window time.Duration
-	Late   time.Duration    // after a window's end its report is due
-	Clock  func() time.Time // the time of day on which the nodes agree
-	// AllHeard tells whether no node is silent just now: then a window is
-	// sealed sooner, and less is lost when many nodes are killed.
+	Late   time.Duration    // time from the end of a window until its report is due
+	Clock  func() time.Time // agreed time of the nodes
+	// AllHeard reports whether no node is currently silent. Windows are then
+	// sealed earlier, which loses fewer counts when many nodes are killed.
 	AllHeard func() bool
 
-	sent map[int64]bool
-	fell int64 // fence under which sent was noted
+	reported      map[int64]bool
+	reportedFence int64 // fence of the term to which reported applies
 }
 
-// Step reports the windows that have settled and are not reported yet.
+// Step reports the windows that have settled and are not yet reported.
 func (u *UsageReporter) Step(ctx context.Context) {
 	term, ok := u.Lease.Term()
 	if !ok {
 		return
 	}
-	if u.fell != term.Fence {
-		u.sent, u.fell = map[int64]bool{}, term.Fence
+	if u.reportedFence != term.Fence {
+		u.reported, u.reportedFence = map[int64]bool{}, term.Fence
 	}
 	now := u.Clock()
-	settle := settleAfter
+	settle := maxSettleDelay
 	if u.AllHeard() {
-		settle = settleSoon
+		settle = minSettleDelay
 	}
 	last := WindowIndex(now.Add(-settle), u.Window) - 1
-	first := WindowIndex(now.Add(-u.Late-tryFor), u.Window)
+	first := WindowIndex(now.Add(-u.Late-retryPeriod), u.Window)
 	for window := first; window <= last; window++ {
-		if !u.sent[window] {
-			u.sent[window] = u.report(ctx, window)
+		if !u.reported[window] {
+			u.reported[window] = u.report(ctx, window)
 		}
 	}
-	for window := range u.sent {
-		if window < first-windowsKept {
-			delete(u.sent, window)
+	for window := range u.reported {
+		if window < first-reportedWindowsKept {
+			delete(u.reported, window)
 		}
 	}
 }
 
-// WindowOf is the number of the window that holds a moment.
+// WindowIndex returns the index of the window that contains the time.
 func WindowIndex(at time.Time, window time.Duration) int64 {
 	return at.UnixNano() / int64(window)
 }
 
-func (u *UsageReporter) key(window int64) string { return fmt.Sprintf("%s%d", u.Prefix, window) }
+func (u *UsageReporter) sealKey(window int64) string { return fmt.Sprintf("%s%d", u.Prefix, window) }
 
 func (u *UsageReporter) report(ctx context.Context, window int64) bool {
 	counts, ok := u.seal(ctx, window)
@@ -138,7 +140,7 @@
 	if len(counts) == 0 {
 		return true
 	}
-	// The seal took time: the right to act is looked at again.
+	// Check again that this node holds the lease: sealing may have taken long.
 	term, ok := u.Lease.Term()
 	if !ok {
 		return false
@@ -150,8 +152,8 @@
 	return err == nil
 }
 
-// seal fixes the counts of a window. ok is false while it is not known which
-// counts are fixed.
+// seal stores the counts of a window unless they are already sealed, and returns
+// the sealed counts and whether they could be determined.
 func (u *UsageReporter) seal(ctx context.Context, window int64) (map[string]int64, bool) {
 	counts := u.Ledger.Sum(window)
 	raw, err := json.Marshal(counts)
@@ -160,7 +162,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	it, found, _, err := u.Store.Get(ctx, u.key(window))
+	it, found, _, err := u.Store.Get(ctx, u.sealKey(window))
 	if err != nil {
 		return nil, false
 	}
@@ -168,7 +170,7 @@
 		if len(counts) == 0 {
 			return nil, true
 		}
-		swap, err := u.Store.PutIf(ctx, u.key(window), raw, 0, 0, u.key(window-sealsRemoved))
+		swap, err := u.Store.PutIf(ctx, u.sealKey(window), raw, 0, 0, u.sealKey(window-sealRetention))
 		if err != nil {
 			return nil, false
 		}
