--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -13,63 +13,65 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Sizes and times of the exchange.
+// Limits of the exchange.
 const (
-	interval    = 250 * time.Millisecond
-	callLimit   = 800 * time.Millisecond
-	fanOut      = 8  // peers asked in one round
-	seedsBelow  = 3  // seeds are asked as well while fewer nodes are known
-	seedEvery   = 8  // rounds between asking a seed although nodes are known
-	relayMost   = 12 // records passed on in one message
-	idlePerPeer = 2
-	idleTimeout = 10 * time.Second
+	exchangeInterval  = 250 * time.Millisecond
+	callTimeout       = 800 * time.Millisecond
+	fanout            = 8  // peers contacted per round
+	minKnownNodes     = 3  // with fewer known nodes, all seeds are contacted as well
+	roundsPerSeed     = 8  // rounds between contacts with a seed once enough nodes are known
+	maxRelayedRecords = 12 // records of other nodes in one message
+	maxIdlePerPeer    = 2
+	idleTimeout       = 10 * time.Second
 )
 
-// Node takes part in the exchange.
+// Node exchanges records and store changes with other nodes. Set the exported
+// fields before calling Start.
 type Node struct {
 	Members *Members
 	View    *view.View
-	Own     func() *Record // the node's record as it stands
+	Own     func() *Record // returns this node's current record
 	Seeds   func() []string
-	Entries func() []Entry // nodes that are stored, this one included
-	// NeedsAll tells whether the node needs the records of all others though
-	// it is no hub; nil means never.
+	Entries func() []Entry // nodes that are stored, including this one
+	// NeedsAllRecords reports whether this node needs the records of all other
+	// nodes although it is not a hub. nil means never.
 	NeedsAllRecords func() bool
-	// Raise is called with the incarnation under which others know an earlier
-	// life of this node. The own record must bear a higher one to be heard: the
-	// clock may have stepped back between the lives. nil leaves it.
+	// RaiseIncarnation is called with the incarnation under which other nodes
+	// know this node from before a restart. They ignore its record until it has a
+	// higher incarnation, which may not be the case if the clock stepped back in
+	// between. It may be nil.
 	RaiseIncarnation func(above int64)
-	// OnSilent is called when a kept connection to a peer has fallen silent
-	// and a new one works; nil means that nobody wants to know.
+	// OnStalledConn is called when a pooled connection to a peer has stalled and
+	// a new one works. It may be nil.
 	OnStalledConn func(address string)
 
-	client  *http.Client
-	mu      sync.Mutex
-	peers   map[string]Cluster
-	busy    map[string]bool
-	reached map[string]*telemetry.Dependency // by address
-	avoided map[string]time.Time             // nodes that are no hubs, and until when
-	nudged  chan struct{}
-	asked   time.Time // when another node last asked for a summary
-	round   int
+	client           *http.Client
+	mu               sync.Mutex
+	clients          map[string]Cluster
+	inFlight         map[string]bool
+	dependencies     map[string]*telemetry.Dependency // by address
+	avoidedUntil     map[string]time.Time             // nodes not to be chosen as hubs, and until when
+	trigger          chan struct{}
+	summaryRequested time.Time // when another node last requested a summary
+	round            int
 }
 
-// Start makes the node ready once its public fields are set.
+// Start initializes the node.
 func (n *Node) Start() {
 	n.client = &http.Client{Transport: &conn.StallDetectingTransport{OnStalledConn: n.OnStalledConn, Transport: &http.Transport{
-		DialContext: conn.Dialer(callLimit).DialContext, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleTimeout, DisableCompression: true,
+		DialContext: conn.Dialer(callTimeout).DialContext, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}}
-	n.peers = map[string]Cluster{}
-	n.busy = map[string]bool{}
-	n.reached = map[string]*telemetry.Dependency{}
-	n.avoided = map[string]time.Time{}
-	n.nudged = make(chan struct{}, 1)
+	n.clients = map[string]Cluster{}
+	n.inFlight = map[string]bool{}
+	n.dependencies = map[string]*telemetry.Dependency{}
+	n.avoidedUntil = map[string]time.Time{}
+	n.trigger = make(chan struct{}, 1)
 }
 
-// Run exchanges with peers until ctx ends.
+// Run exchanges with peers until ctx is canceled.
 func (n *Node) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := interval
+		wait := exchangeInterval
 		large := n.UsesHubs()
 		var targets []target
 		if large {
@@ -80,81 +82,82 @@
 		if large && !n.IsHub() {
 			wait = nodeInterval
 		}
-		for _, one := range targets {
-			go n.ask(ctx, one)
+		for _, to := range targets {
+			go n.exchangeWith(ctx, to)
 		}
-		n.rest(ctx, wait+rand.N(wait/4), large)
+		n.waitForRound(ctx, wait+rand.N(wait/4), large)
 	}
 }
 
-// rest waits until the next round. In a large system there may be a reason
-// for it to come sooner.
-func (n *Node) rest(ctx context.Context, wait time.Duration, sooner bool) {
-	began := time.Now()
+// waitForRound waits until the next round. If triggerable is set, TriggerExchange
+// can shorten the wait.
+func (n *Node) waitForRound(ctx context.Context, wait time.Duration, triggerable bool) {
+	start := time.Now()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	nudged := n.nudged
-	if !sooner {
-		nudged = nil
+	trigger := n.trigger
+	if !triggerable {
+		trigger = nil
 	}
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-nudged:
+	case <-trigger:
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(began.Add(soonest))):
+		case <-time.After(time.Until(start.Add(minRoundInterval))):
 		}
 	}
 }
 
-// Nudge lets the next round of a large system come soon.
+// TriggerExchange starts the next round early if the system uses hubs.
 func (n *Node) TriggerExchange() {
 	select {
-	case n.nudged <- struct{}{}:
-	default: // one is waiting already
+	case n.trigger <- struct{}{}:
+	default: // a trigger is already pending
 	}
 }
 
-// Large tells whether the system is too large for all nodes to exchange with
-// all others.
-func (n *Node) UsesHubs() bool { return n.Entries != nil && len(n.Entries()) > flatMost }
+// UsesHubs reports whether the system is too large for every node to exchange
+// with every other.
+func (n *Node) UsesHubs() bool { return n.Entries != nil && len(n.Entries()) > maxFlatNodes }
 
-// Hub tells whether other nodes, or the duties, need this node to know all.
+// IsHub reports whether this node collects the records of all nodes, either
+// because other nodes request summaries from it or because NeedsAllRecords says so.
 func (n *Node) IsHub() bool {
 	n.mu.Lock()
-	asked := time.Since(n.asked) < askedFor
+	summaryRequested := time.Since(n.summaryRequested) < hubTTL
 	n.mu.Unlock()
-	return asked || n.NeedsAllRecords != nil && n.NeedsAllRecords()
+	return summaryRequested || n.NeedsAllRecords != nil && n.NeedsAllRecords()
 }
 
 func (n *Node) hubTargets() []target {
 	own := n.Own()
-	return hubTargets(own.Node, own.FailureDomain, n.Entries(), n.avoid, n.IsHub())
+	return hubTargets(own.Node, own.FailureDomain, n.Entries(), n.isAvoided, n.IsHub())
 }
 
-func (n *Node) avoid(node string) bool {
+func (n *Node) isAvoided(node string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.avoided[node])
+	return time.Now().Before(n.avoidedUntil[node])
 }
 
-// targets chooses whom to ask in this round in a small system.
+// targets selects the peers of one round in a system without hubs.
 func (n *Node) targets() []target {
 	n.round++
 	own := n.Own()
 	var addresses []string
-	others := n.Members.Others(forgetFor)
+	others := n.Members.Others(forgetTimeout)
 	for _, r := range others {
 		addresses = append(addresses, r.Peers)
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	addresses = addresses[:min(len(addresses), fanOut)]
+	addresses = addresses[:min(len(addresses), fanout)]
 	seeds := n.Seeds()
 	switch {
-	case len(others) < seedsBelow:
+	case len(others) < minKnownNodes:
 		addresses = append(addresses, seeds...)
-	case n.round%seedEvery == 0 && len(seeds) > 0:
+	case n.round%roundsPerSeed == 0 && len(seeds) > 0:
 		addresses = append(addresses, seeds[rand.IntN(len(seeds))])
 	}
 	seen := map[string]bool{own.Peers: true}
@@ -168,34 +171,34 @@
 	return out
 }
 
-// Ask exchanges records with the peer at address.
-func (n *Node) Ask(ctx context.Context, address string) {
-	n.ask(ctx, target{address: address, scope: Scope_LACKING})
+// ExchangeWith exchanges records and store changes with the peer at address.
+func (n *Node) ExchangeWith(ctx context.Context, address string) {
+	n.exchangeWith(ctx, target{address: address, scope: Scope_LACKING})
 }
 
-// ask exchanges with a peer; a call still open is not doubled.
-func (n *Node) ask(ctx context.Context, to target) {
-	client, ok := n.claim(to.address)
+// exchangeWith exchanges with one peer, unless a call to it is in progress.
+func (n *Node) exchangeWith(ctx context.Context, to target) {
+	client, ok := n.acquirePeer(to.address)
 	if !ok {
 		return
 	}
-	defer n.release(to.address)
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	defer n.releasePeer(to.address)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := time.Now()
-	answer, err := client.Exchange(ctx, n.question(to.scope))
-	if err != nil || answer.GetOwn().GetLeaving() {
+	reply, err := client.Exchange(ctx, n.newRequest(to.scope))
+	if err != nil || reply.GetOwn().GetLeaving() {
 		n.setAvoided(to.node)
 	}
 	if err != nil {
-		n.reach(to.address).Failed(err)
+		n.dependency(to.address).Failed(err)
 		return
 	}
-	n.reach(to.address).Succeeded()
-	middle := sent.Add(time.Since(sent) / 2)
-	n.take(answer, middle)
-	if answer.Summary != nil {
-		n.Members.TakeSummary(answer.Own, answer.Summary, middle)
+	n.dependency(to.address).Succeeded()
+	midpoint := sent.Add(time.Since(sent) / 2)
+	n.mergeMessage(reply, midpoint)
+	if reply.Summary != nil {
+		n.Members.SetSummary(reply.Own, reply.Summary, midpoint)
 	}
 }
 
@@ -204,60 +207,60 @@
 		return
 	}
 	n.mu.Lock()
-	n.avoided[node] = time.Now().Add(avoidFor)
+	n.avoidedUntil[node] = time.Now().Add(avoidPeriod)
 	n.mu.Unlock()
 }
 
-func (n *Node) claim(address string) (Cluster, bool) {
+func (n *Node) acquirePeer(address string) (Cluster, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy[address] {
+	if n.inFlight[address] {
 		return nil, false
 	}
-	n.busy[address] = true
-	client := n.peers[address]
+	n.inFlight[address] = true
+	client := n.clients[address]
 	if client == nil {
 		client = NewClusterProtobufClient("http://"+address, n.client)
-		n.peers[address] = client
+		n.clients[address] = client
 	}
 	return client, true
 }
 
-// reach is whether the peer at an address answers.
-func (n *Node) reach(address string) *telemetry.Dependency {
+// dependency returns the availability of the peer at address.
+func (n *Node) dependency(address string) *telemetry.Dependency {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d := n.reached[address]
+	d := n.dependencies[address]
 	if d == nil {
 		d = &telemetry.Dependency{Name: "peer " + address, Now: time.Now}
-		n.reached[address] = d
+		n.dependencies[address] = d
 	}
 	return d
 }
 
-func (n *Node) release(address string) {
+func (n *Node) releasePeer(address string) {
 	n.mu.Lock()
-	delete(n.busy, address)
+	delete(n.inFlight, address)
 	n.mu.Unlock()
 }
 
-// Exchange answers a peer.
+// Exchange implements Cluster.
 func (n *Node) Exchange(_ context.Context, m *Message) (*Message, error) {
-	n.take(m, time.Now())
-	n.Members.TakeDirect(m.Own)
-	out := n.message()
+	n.mergeMessage(m, time.Now())
+	n.Members.MergeDirect(m.Own)
+	out := n.newMessage()
 	switch m.Scope {
 	case Scope_SUMMARY:
 		n.mu.Lock()
-		n.asked = time.Now()
+		n.summaryRequested = time.Now()
 		n.mu.Unlock()
 		out.Summary = n.Members.Summarize(m.GetOwn().GetNode(), time.Now())
 	case Scope_DIRECT:
 		n.addOthers(out, n.Members.Direct())
 	default:
-		n.addOthers(out, n.Members.Lacking(m.Known, m.GetOwn().GetNode(), relayMost))
+		n.addOthers(out, n.Members.Lacking(m.Known, m.GetOwn().GetNode(), maxRelayedRecords))
 	}
-	if known := n.Members.later(m.Own); known != nil {
+	if known := n.Members.laterIncarnation(m.Own); known != nil {
 		out.Known = append(out.Known, known)
 	}
 	if m.Complete < out.Complete {
@@ -266,32 +269,33 @@
 	return out, nil
 }
 
-// message makes a message with what every message carries.
-func (n *Node) message() *Message {
+// newMessage returns a message with the fields common to requests and replies.
+func (n *Node) newMessage() *Message {
 	own := n.Own()
-	n.Members.Take(own)
+	n.Members.Merge(own)
 	complete, _ := n.View.Complete()
 	return &Message{Own: own, Complete: complete, WallUs: time.Now().UnixMicro()}
 }
 
-// question makes the message that asks a peer.
-func (n *Node) question(scope Scope) *Message {
-	out := n.message()
+// newRequest returns the message that requests the given scope from a peer.
+func (n *Node) newRequest(scope Scope) *Message {
+	out := n.newMessage()
 	out.Scope = scope
 	switch scope {
 	case Scope_LACKING:
 		out.Known = n.Members.Known()
 	case Scope_DIRECT:
-		hub, _ := hubOf(n.Entries(), out.Own.FailureDomain, n.avoid)
+		hub, _ := selectHub(n.Entries(), out.Own.FailureDomain, n.isAvoided)
 		if hub.Node != out.Own.Node {
-			// The domain's hub may not hear the nodes that ask here instead.
+			// Pass on the records of nodes that exchange with this node because they
+			// cannot reach their hub.
 			n.addOthers(out, n.Members.Direct())
 		}
 	}
 	return out
 }
 
-// addOthers adds the records of other nodes, each with its age.
+// addOthers adds the records of other nodes and their ages.
 func (n *Node) addOthers(out *Message, members []Member) {
 	for _, member := range members {
 		out.Others = append(out.Others, member.Record)
@@ -299,7 +303,7 @@
 	}
 }
 
-// addChanges adds what the receiver's copy of the store lacks.
+// addChanges adds the store changes after revision from.
 func (n *Node) addChanges(out *Message, from int64) {
 	delta := n.View.DeltaSince(from)
 	out.Complete, out.Whole = delta.Complete, delta.Whole
@@ -308,17 +312,17 @@
 	}
 }
 
-func (n *Node) take(m *Message, at time.Time) {
+func (n *Node) mergeMessage(m *Message, at time.Time) {
 	for _, k := range m.Known {
 		if n.RaiseIncarnation != nil && k.Node == n.Members.self {
 			n.RaiseIncarnation(k.Incarnation)
 		}
 	}
-	n.Members.Take(m.Own)
+	n.Members.Merge(m.Own)
 	for i, r := range m.Others {
-		n.Members.TakeAged(r, ageOf(m, i))
+		n.Members.MergeAged(r, recordAge(m, i))
 	}
-	n.Members.Compare(m.GetOwn().GetNode(), time.UnixMicro(m.WallUs), at)
+	n.Members.RecordClock(m.GetOwn().GetNode(), time.UnixMicro(m.WallUs), at)
 	if len(m.Items) == 0 && !m.Whole {
 		return
 	}
@@ -329,13 +333,13 @@
 	n.View.ApplyPeer(delta)
 }
 
-// ageOf is how old a record was when the message was made.
-func ageOf(m *Message, other int) time.Duration {
-	if other >= len(m.AgesMs) {
+// recordAge returns the age of a record in m.Others at the time of sending.
+func recordAge(m *Message, index int) time.Duration {
+	if index >= len(m.AgesMs) {
 		return 0
 	}
-	return time.Duration(m.AgesMs[other]) * time.Millisecond
+	return time.Duration(m.AgesMs[index]) * time.Millisecond
 }
 
-// Handler serves the exchange.
+// Handler returns the HTTP handler of the Cluster service.
 func (n *Node) Handler() http.Handler { return NewClusterServer(n) }
--- a/src/cluster/hub.go
+++ b/src/cluster/hub.go
@@ -7,45 +7,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the exchange by way of hubs. In a small system every node
-// exchanges records with every other. In a large one a node tells its record
-// to the hub of its failure domain and is told sums; the hubs exchange the
-// records that they were told. Any node is a hub as soon as others ask it.
+// In a small system, every node exchanges records with every other node. In a
+// large one, a node sends its record to the hub of its failure domain and receives
+// a summary of the other nodes; hubs exchange the records that they receive. A
+// node becomes a hub when another node requests a summary from it.
 const (
-	flatMost     = 16                     // nodes of a small system
-	nodeInterval = 500 * time.Millisecond // between the rounds of a node that is no hub
-	soonest      = 60 * time.Millisecond  // between two rounds of which one comes early
-	askedFor     = 3 * time.Second        // after it was asked for a summary a node acts as a hub
-	avoidFor     = 3 * time.Second        // after a call that failed a node is not chosen as a hub
+	maxFlatNodes     = 16                     // largest system that does without hubs
+	nodeInterval     = 500 * time.Millisecond // between rounds of a node that is not a hub
+	minRoundInterval = 60 * time.Millisecond  // between a round and one that was triggered
+	hubTTL           = 3 * time.Second        // a node acts as a hub for this long after a summary was requested
+	avoidPeriod      = 3 * time.Second        // a node is not selected as a hub for this long after a failed call
 )
 
-// Entry is where a node is found, as the node stored it.
+// Entry is the stored address of a node.
 type Entry struct {
 	Node          string
 	FailureDomain string
 	Peers         string // address for other nodes
 }
 
-// target is whom to ask in a round, and for what.
+// target is a peer to contact and the scope to request from it.
 type target struct {
-	node    string // empty where only the address is known
+	node    string // empty if only the address is known
 	address string
 	scope   Scope
 }
 
-// hubOf is the node of a failure domain that serves as its hub: the first by
-// hash of those that are not avoided, or the first of all.
-func hubOf(entries []Entry, domain string, avoided func(node string) bool) (Entry, bool) {
-	var in []Entry
+// selectHub returns the hub of a failure domain, and false if the domain has no nodes.
+// The hub is the first node in hash order that is not avoided, or the first of all
+// if every node is avoided.
+func selectHub(entries []Entry, domain string, avoided func(node string) bool) (Entry, bool) {
+	var candidates []Entry
 	for _, e := range entries {
 		if e.FailureDomain == domain {
-			in = append(in, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(in) == 0 {
+	if len(candidates) == 0 {
 		return Entry{}, false
 	}
-	slices.SortFunc(in, func(a, b Entry) int {
+	slices.SortFunc(candidates, func(a, b Entry) int {
 		hashA, hashB := xxhash.Sum64String(a.Node), xxhash.Sum64String(b.Node)
 		switch {
 		case hashA < hashB:
@@ -55,28 +56,27 @@
 		}
 		return 0
 	})
-	for _, e := range in {
+	for _, e := range candidates {
 		if !avoided(e.Node) {
 			return e, true
 		}
 	}
-	return in[0], true
+	return candidates[0], true
 }
 
-// hubTargets are the targets of the node self in a large system. A node that
-// needs all records, because it is a hub or holds the duties, asks the hubs of
-// all failure domains for theirs.
+// hubTargets returns the targets of the node self in a large system: the hub of its
+// domain and, if it needs all records, the hubs of all domains.
 func hubTargets(self string, domain string, entries []Entry, avoided func(node string) bool, needsAll bool) []target {
 	var out []target
-	own, _ := hubOf(entries, domain, avoided)
+	own, _ := selectHub(entries, domain, avoided)
 	if own.Node != self && own.Node != "" {
 		out = append(out, target{own.Node, own.Peers, Scope_SUMMARY})
 	}
 	if !needsAll && own.Node != self {
 		return out
 	}
-	for _, other := range domainsOf(entries) {
-		hub, ok := hubOf(entries, other, avoided)
+	for _, other := range failureDomains(entries) {
+		hub, ok := selectHub(entries, other, avoided)
 		if ok && hub.Node != self {
 			out = append(out, target{hub.Node, hub.Peers, Scope_DIRECT})
 		}
@@ -84,7 +84,7 @@
 	return out
 }
 
-func domainsOf(entries []Entry) []string {
+func failureDomains(entries []Entry) []string {
 	var out []string
 	for _, e := range entries {
 		if !slices.Contains(out, e.FailureDomain) {
--- a/src/cluster/hub_test.go
+++ b/src/cluster/hub_test.go
@@ -14,20 +14,20 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// fleet is a system of nodes that exchange over loopback.
-type fleet struct {
+// testCluster is a set of nodes that exchange over the loopback interface.
+type testCluster struct {
 	nodes   []*Node
 	entries []Entry
 	records []*Record
 }
 
-const fleetDomains = 2
+const testDomains = 2
 
-func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{}
+func newTestCluster(t *testing.T, size int) *testCluster {
+	c := &testCluster{}
 	for i := range size {
 		record := &Record{
-			Node: fmt.Sprintf("n%d", i), FailureDomain: fmt.Sprintf("d%d", i%fleetDomains), Incarnation: 1, Ready: true, Callers: fmt.Sprintf("caller-%d", i),
+			Node: fmt.Sprintf("n%d", i), FailureDomain: fmt.Sprintf("d%d", i%testDomains), Incarnation: 1, Ready: true, Callers: fmt.Sprintf("caller-%d", i),
 			Admitted: []*Tally{{Name: "c", Total: 10}}, Loads: []*Load{{Server: "s", Requests: 1, UnreadTokens: 100}},
 		}
 		node := &Node{
@@ -39,76 +39,77 @@
 					Ready: true, Callers: record.Callers, Admitted: record.Admitted, Loads: record.Loads,
 				}
 			},
-			Seeds: func() []string { return nil }, Entries: func() []Entry { return f.entries },
+			Seeds: func() []string { return nil }, Entries: func() []Entry { return c.entries },
 		}
 		node.Start()
 		server := httptest.NewServer(node.Handler())
 		t.Cleanup(server.Close)
 		record.Peers = strings.TrimPrefix(server.URL, "http://")
-		f.entries = append(f.entries, Entry{record.Node, record.FailureDomain, record.Peers})
-		f.nodes, f.records = append(f.nodes, node), append(f.records, record)
+		c.entries = append(c.entries, Entry{record.Node, record.FailureDomain, record.Peers})
+		c.nodes, c.records = append(c.nodes, node), append(c.records, record)
 	}
-	return f
+	return c
 }
 
-// round lets every node ask its targets once.
-func (f *fleet) round() (calls int) {
-	for _, node := range f.nodes {
-		for _, one := range node.hubTargets() {
-			node.ask(context.Background(), one)
+// round lets every node contact its targets once and returns the number of calls.
+func (c *testCluster) round() (calls int) {
+	for _, node := range c.nodes {
+		for _, to := range node.hubTargets() {
+			node.exchangeWith(context.Background(), to)
 			calls++
 		}
 	}
 	return calls
 }
 
-// settle lets sums that hubs keep for a while grow old.
-func (f *fleet) settle() {
-	for _, node := range f.nodes {
+// expireAggregates makes hubs recompute their aggregates for the next summary.
+func (c *testCluster) expireAggregates() {
+	for _, node := range c.nodes {
 		node.Members.mu.Lock()
-		node.Members.sums = sums{}
+		node.Members.aggregates = aggregates{}
 		node.Members.mu.Unlock()
 	}
 }
 
-func TestNodesOfALargeSystemLearnSumsOverAll(t *testing.T) {
+func TestHubsSummarizeAllNodesOfALargeSystem(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 24)
+	c := newTestCluster(t, 24)
 	calls := 0
 	for range 3 {
-		f.settle()
-		calls = f.round()
+		c.expireAggregates()
+		calls = c.round()
 	}
-	is.True(calls <= len(f.nodes)+2*fleetDomains) // one call a node, and those between the hubs
-	for _, node := range f.nodes {
+	is.True(calls <= len(c.nodes)+2*testDomains) // one call per node, and those between hubs
+	for _, node := range c.nodes {
 		if node.IsHub() {
-			is.Equal(len(node.Members.All()), len(f.nodes))
+			is.Equal(len(node.Members.All()), len(c.nodes))
 			continue
 		}
 		is.True(len(node.Members.All()) <= 3)
 		s, _, _, ok := node.Members.Summary()
 		is.True(ok)
-		is.Equal(int(s.Nodes), len(f.nodes))
-		is.Equal(node.Members.Count(), len(f.nodes))
-		is.Equal(s.Admitted[0].Total, 10.0*float64(len(f.nodes)-1)) // all but the own
-		is.Equal(int(s.Heavy[0].Requests), len(f.nodes)-1)
-		is.True(len(node.Members.Callers(64)) >= len(f.nodes)/4)
+		is.Equal(int(s.Nodes), len(c.nodes))
+		is.Equal(node.Members.Count(), len(c.nodes))
+		is.Equal(s.Admitted[0].Total, 10.0*float64(len(c.nodes)-1)) // all nodes but itself
+		is.Equal(int(s.Heavy[0].Requests), len(c.nodes)-1)
+		is.True(len(node.Members.Callers(64)) >= len(c.nodes)/4)
 	}
 }
 
-func TestSumsNeverFallWhenANodeBeginsAnew(t *testing.T) {
+// What a node admitted before a restart must stay in the sums.
+func TestAdmittedSumsSurviveNodeRestart(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 20)
+	c := newTestCluster(t, 20)
 	for range 3 {
-		f.settle()
-		f.round()
+		c.expireAggregates()
+		c.round()
 	}
-	f.records[7].Incarnation, f.records[7].Sequence, f.records[7].Admitted = 2, 0, []*Tally{{Name: "c", Total: 1}}
+	c.records[7].Incarnation, c.records[7].Sequence, c.records[7].Admitted = 2, 0, []*Tally{{Name: "c", Total: 1}}
 	for range 3 {
-		f.settle()
-		f.round()
+		c.expireAggregates()
+		c.round()
 	}
-	for i, node := range f.nodes {
+	for i, node := range c.nodes {
 		s, _, _, ok := node.Members.Summary()
 		if ok && i != 7 {
 			is.Equal(s.Admitted[0].Total, 10.0*19+1)
@@ -116,63 +117,63 @@
 	}
 }
 
-func TestAnotherNodeIsTheHubWhenOneIsSilent(t *testing.T) {
+func TestHubFailover(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 20)
+	c := newTestCluster(t, 20)
 	none := func(string) bool { return false }
-	first, _ := hubOf(f.entries, "d0", none)
-	second, _ := hubOf(f.entries, "d0", func(node string) bool { return node == first.Node })
+	first, _ := selectHub(c.entries, "d0", none)
+	second, _ := selectHub(c.entries, "d0", func(node string) bool { return node == first.Node })
 	is.True(first.Node != second.Node)
 	is.Equal(second.FailureDomain, "d0")
-	last, ok := hubOf(f.entries, "d0", func(string) bool { return true })
+	last, ok := selectHub(c.entries, "d0", func(string) bool { return true })
 	is.True(ok)
 	is.Equal(last.Node, first.Node)
-	_, ok = hubOf(f.entries, "elsewhere", none)
+	_, ok = selectHub(c.entries, "elsewhere", none)
 	is.True(!ok)
 
-	for i := range f.entries {
-		if f.entries[i].Node == first.Node {
-			f.entries[i].Peers = "127.0.0.1:1" // nobody listens there
+	for i := range c.entries {
+		if c.entries[i].Node == first.Node {
+			c.entries[i].Peers = "127.0.0.1:1" // refuses connections
 		}
 	}
 	for range 4 {
-		f.settle()
-		f.round()
+		c.expireAggregates()
+		c.round()
 	}
-	for i, node := range f.nodes {
-		if f.records[i].Node == first.Node || node.IsHub() {
+	for i, node := range c.nodes {
+		if c.records[i].Node == first.Node || node.IsHub() {
 			continue
 		}
 		s, hub, _, ok := node.Members.Summary()
 		is.True(ok)
 		is.True(!strings.HasPrefix(hub, first.Node+"/"))
-		is.True(int(s.Nodes) >= len(f.nodes)-1)
+		is.True(int(s.Nodes) >= len(c.nodes)-1)
 	}
 }
 
-func TestChangesReachNodesByWayOfHubs(t *testing.T) {
+func TestHubsRelayStoreChanges(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 20)
-	hub, _ := hubOf(f.entries, "d0", func(string) bool { return false })
-	for i, node := range f.nodes {
-		if f.records[i].Node == hub.Node {
+	c := newTestCluster(t, 20)
+	hub, _ := selectHub(c.entries, "d0", func(string) bool { return false })
+	for i, node := range c.nodes {
+		if c.records[i].Node == hub.Node {
 			node.View.ApplyList([]ports.Item{{Key: "k", Value: []byte("v"), Revision: 5}}, 5)
 		}
 	}
 	for range 3 {
-		f.round()
+		c.round()
 	}
-	for _, node := range f.nodes {
+	for _, node := range c.nodes {
 		it, ok := node.View.Get("k")
 		is.True(ok)
 		is.Equal(string(it.Value), "v")
 	}
 }
 
-func TestASmallSystemNeedsNoHubs(t *testing.T) {
+func TestSmallSystemUsesNoHubs(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, flatMost)
-	is.True(!f.nodes[0].UsesHubs())
-	f.entries = append(f.entries, Entry{"one-more", "d0", ""})
-	is.True(f.nodes[0].UsesHubs())
+	c := newTestCluster(t, maxFlatNodes)
+	is.True(!c.nodes[0].UsesHubs())
+	c.entries = append(c.entries, Entry{"one-more", "d0", ""})
+	is.True(c.nodes[0].UsesHubs())
 }
--- a/src/cluster/members.go
+++ b/src/cluster/members.go
@@ -1,7 +1,7 @@
-// Package cluster spreads what each gateway node tells of itself, and changes
-// of the store, between the nodes: by direct exchange, and passed on by others
-// for nodes that do not reach each other. It steers work and divides limits;
-// it never decides who holds a duty.
+// Package cluster distributes each gateway node's record, and changes of the store,
+// among the nodes: directly, or relayed by others for nodes that cannot reach each
+// other. The records steer work and divide limits; they never decide which node
+// holds the duties.
 package cluster
 
 import (
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// Times of the exchange.
+// Times since a node was last heard from.
 const (
-	aliveFor   = 2 * time.Second        // a node silent for longer is not given to clients
-	silentFor  = 600 * time.Millisecond // a node not heard for longer is silent just now
-	countedFor = 10 * time.Second       // a node silent for longer has no share of limits
-	forgetFor  = 60 * time.Second       // a node silent for longer is forgotten
-	clockFor   = 20 * time.Second       // a clock not compared for longer has no voice
+	aliveTimeout   = 2 * time.Second        // limit for being offered to clients
+	silenceTimeout = 600 * time.Millisecond // limit for not being considered silent
+	countedTimeout = 10 * time.Second       // limit for having a share of limits
+	forgetTimeout  = 60 * time.Second       // limit for being remembered
+	clockSampleTTL = 20 * time.Second       // limit for using its clock in AgreedTime
 )
 
-// Member is what is known of one node.
+// Member is a known node.
 type Member struct {
 	Record *Record
-	Heard  time.Time // when its record last moved on
+	Heard  time.Time // when its record last advanced
 }
 
-// Members is the known nodes, this one included.
+// Members holds the known nodes, including this one.
 type Members struct {
-	mu      sync.Mutex
-	self    string
-	members map[string]Member
-	clocks  map[string]clock
-	now     func() time.Time
-	direct  map[string]time.Time // when a node's own message came last
-	past    map[string]float64   // by customer: admitted in lives of nodes that are over
-	sums    sums
-	heard   heard                // what the hub told last
-	callers map[string]time.Time // addresses for clients, and when a hub told them
+	mu              sync.Mutex
+	self            string
+	members         map[string]Member
+	clocks          map[string]clock
+	now             func() time.Time
+	direct          map[string]time.Time // last message received from the node itself
+	pastAdmitted    map[string]float64   // by customer: cost admitted in earlier incarnations and by forgotten nodes
+	aggregates      aggregates
+	hubSummary      hubSummary           // last summary received from a hub
+	clientAddresses map[string]time.Time // addresses for clients and when a hub last sent them
 }
 
-// clock is how far a node's time of day is from this process's steady clock.
+// clock is a sample of a node's clock.
 type clock struct {
-	offset time.Duration
+	offset time.Duration // from this process's steady time
 	at     time.Time
 }
 
-// NewMembers returns the members as known to the node self, none yet.
+// NewMembers returns the members known to the node self, initially none.
 func NewMembers(self string, now func() time.Time) *Members {
 	return &Members{
 		self: self, members: map[string]Member{}, clocks: map[string]clock{}, now: now,
-		direct: map[string]time.Time{}, past: map[string]float64{}, callers: map[string]time.Time{},
+		direct: map[string]time.Time{}, pastAdmitted: map[string]float64{}, clientAddresses: map[string]time.Time{},
 	}
 }
 
@@ -60,13 +60,14 @@
 	return a.Sequence > b.Sequence
 }
 
-// Take keeps the record if it is newer than what is known of its node.
-func (m *Members) Take(r *Record) bool { return m.TakeAged(r, 0) }
+// Merge stores a record if it is newer than the known one of its node, and reports
+// whether it did.
+func (m *Members) Merge(r *Record) bool { return m.MergeAged(r, 0) }
 
-// TakeAged keeps a record that moved on a while ago, as another node tells. A
-// node that is forgotten here is not taken for a new one.
-func (m *Members) TakeAged(r *Record, age time.Duration) bool {
-	if r == nil || r.Node == "" || age >= forgetFor {
+// MergeAged merges a relayed record that advanced age ago. Records older than
+// forgetTimeout are ignored, so that forgotten nodes do not reappear.
+func (m *Members) MergeAged(r *Record, age time.Duration) bool {
+	if r == nil || r.Node == "" || age >= forgetTimeout {
 		return false
 	}
 	m.mu.Lock()
@@ -76,15 +77,15 @@
 		return false
 	}
 	if ok && r.Incarnation != old.Record.Incarnation && r.Node != m.self {
-		m.keepPast(old.Record)
+		m.addPastAdmitted(old.Record)
 	}
 	m.members[r.Node] = Member{r, m.now().Add(-age)}
 	return true
 }
 
-// TakeDirect keeps the record of the node that sent it itself.
-func (m *Members) TakeDirect(r *Record) {
-	m.Take(r)
+// MergeDirect merges a record received from the node itself.
+func (m *Members) MergeDirect(r *Record) {
+	m.Merge(r)
 	if name := r.GetNode(); name != "" {
 		m.mu.Lock()
 		m.direct[name] = m.now()
@@ -92,13 +93,13 @@
 	}
 }
 
-// Direct returns the nodes that exchange with this one.
+// Direct returns the nodes that this node recently received messages from.
 func (m *Members) Direct() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Member
 	for name, at := range m.direct {
-		if m.now().Sub(at) > aliveFor {
+		if m.now().Sub(at) > aliveTimeout {
 			delete(m.direct, name)
 			continue
 		}
@@ -109,18 +110,18 @@
 	return out
 }
 
-// keepPast adds what a life of a node that is over admitted, so that sums
-// over all nodes never fall.
-func (m *Members) keepPast(r *Record) {
+// addPastAdmitted keeps the totals of a record that is dropped, so that the sums
+// over all nodes never decrease.
+func (m *Members) addPastAdmitted(r *Record) {
 	for _, t := range r.Admitted {
-		m.past[t.Name] += t.Total
+		m.pastAdmitted[t.Name] += t.Total
 	}
 }
 
-// Age is how long ago a member's record moved on.
+// Age returns the time since a member's record last advanced.
 func (m *Members) Age(member Member) time.Duration { return max(m.now().Sub(member.Heard), 0) }
 
-// Known lists the newest records by their sequence.
+// Known returns the incarnation and sequence number of each known record.
 func (m *Members) Known() []*Known {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,9 +132,9 @@
 	return out
 }
 
-// later names the incarnation of a later life, as far as its number says so,
-// under which the node of a record is known; nil when there is none.
-func (m *Members) later(r *Record) *Known {
+// laterIncarnation returns the known incarnation and sequence number of the
+// record's node if that incarnation is higher than the record's, or nil.
+func (m *Members) laterIncarnation(r *Record) *Known {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known, ok := m.members[r.GetNode()]
@@ -143,9 +144,9 @@
 	return &Known{Node: r.GetNode(), Incarnation: known.Record.Incarnation, Sequence: known.Record.Sequence}
 }
 
-// Lacking returns up to most members whose records are newer than those known
-// to a peer.
-func (m *Members) Lacking(known []*Known, peer string, most int) []Member {
+// Lacking returns up to limit members whose records are newer than those known to
+// peer.
+func (m *Members) Lacking(known []*Known, peer string, limit int) []Member {
 	have := make(map[string]*Known, len(known))
 	for _, k := range known {
 		have[k.Node] = k
@@ -154,35 +155,36 @@
 	defer m.mu.Unlock()
 	var out []Member
 	for name, member := range m.members {
-		if name == m.self || name == peer || len(out) >= most {
+		if name == m.self || name == peer || len(out) >= limit {
 			continue
 		}
 		k := have[name]
-		if k == nil || newer(member.Record, &Record{Incarnation: k.Incarnation, Sequence: k.Sequence + relayLag}) {
+		if k == nil || newer(member.Record, &Record{Incarnation: k.Incarnation, Sequence: k.Sequence + minRelayLag}) {
 			out = append(out, member)
 		}
 	}
 	return out
 }
 
-// relayLag is how far behind a peer must be before a record is passed on to
-// it: nodes that reach each other need no relay.
-const relayLag = 2
+// minRelayLag is the number of updates by which a peer's record must lag behind
+// before a newer one is relayed. Nodes that reach each other need no relay.
+const minRelayLag = 2
 
-// Others returns the other nodes heard within the time, sorted by name.
-func (m *Members) Others(within time.Duration) []*Record {
+// Others returns the records of the other nodes heard from within maxAge,
+// sorted by name. It drops the nodes that have exceeded forgetTimeout.
+func (m *Members) Others(maxAge time.Duration) []*Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	var out []*Record
 	for name, member := range m.members {
 		age := now.Sub(member.Heard)
-		if age > forgetFor {
-			m.keepPast(member.Record)
+		if age > forgetTimeout {
+			m.addPastAdmitted(member.Record)
 			delete(m.members, name)
 			continue
 		}
-		if name != m.self && age <= within {
+		if name != m.self && age <= maxAge {
 			out = append(out, member.Record)
 		}
 	}
@@ -195,23 +197,23 @@
 	return out
 }
 
-// Alive returns the other nodes that clients may be sent to.
+// Alive returns the records of the other nodes that clients may be sent to.
 func (m *Members) Alive() []*Record {
-	return slices.DeleteFunc(m.Others(aliveFor), func(r *Record) bool { return r.Leaving || !r.Ready })
+	return slices.DeleteFunc(m.Others(aliveTimeout), func(r *Record) bool { return r.Leaving || !r.Ready })
 }
 
-// Count is the number of nodes among which limits are divided, this one included.
+// Count returns the number of nodes, including this one, that share limits.
 func (m *Members) Count() int {
-	known := len(m.Others(countedFor)) + 1
+	known := len(m.Others(countedTimeout)) + 1
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard.summary != nil && m.now().Sub(m.heard.at) < countedFor {
-		return max(known, int(m.heard.summary.Nodes))
+	if m.hubSummary.summary != nil && m.now().Sub(m.hubSummary.at) < countedTimeout {
+		return max(known, int(m.hubSummary.summary.Nodes))
 	}
 	return known
 }
 
-// All returns every known member, this node's own record included.
+// All returns all known members, including this node.
 func (m *Members) All() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -222,38 +224,39 @@
 	return out
 }
 
-// Compare takes in a peer's time of day, read about when at was.
-func (m *Members) Compare(node string, wall time.Time, at time.Time) {
+// RecordClock records a peer's wall clock as read at local time at.
+func (m *Members) RecordClock(node string, wall time.Time, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// Round drops the monotonic reading, so that a step of the own clock shows.
-	m.clocks[node] = clock{offset: wall.Sub(m.steady(at)), at: at}
+	m.clocks[node] = clock{offset: wall.Sub(m.steadyTime(at)), at: at}
 }
 
-// steady maps a moment to a time line that no step of the clock moves.
-func (m *Members) steady(at time.Time) time.Time { return started.Add(at.Sub(started)).Round(0) }
+// steadyTime converts a local time to a wall clock that is not affected by steps of
+// the system clock after process start.
+func (m *Members) steadyTime(at time.Time) time.Time {
+	return processStart.Add(at.Sub(processStart)).Round(0)
+}
 
-var started = time.Now()
+var processStart = time.Now()
 
-// Agreed is the time of day on which most nodes agree, for a moment read from
-// this process's clock.
+// AgreedTime converts a local time to the median of the nodes' wall clocks.
 func (m *Members) AgreedTime(at time.Time) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard.summary != nil && m.now().Sub(m.heard.at) < clockFor {
-		return m.steady(at).Add(m.heard.agreed)
+	if m.hubSummary.summary != nil && m.now().Sub(m.hubSummary.at) < clockSampleTTL {
+		return m.steadyTime(at).Add(m.hubSummary.agreed)
 	}
-	offsets := []time.Duration{time.Now().Round(0).Sub(m.steady(time.Now()))}
+	offsets := []time.Duration{time.Now().Round(0).Sub(m.steadyTime(time.Now()))}
 	for node, c := range m.clocks {
-		if node != m.self && at.Sub(c.at) < clockFor {
+		if node != m.self && at.Sub(c.at) < clockSampleTTL {
 			offsets = append(offsets, c.offset)
 		}
 	}
 	slices.Sort(offsets)
-	return m.steady(at).Add(offsets[len(offsets)/2])
+	return m.steadyTime(at).Add(offsets[len(offsets)/2])
 }
 
-// AllHeard tells whether every node that counts was heard just now.
+// AllHeard reports whether none of the counted nodes is currently silent.
 func (m *Members) AllHeard() bool {
-	return len(m.Others(countedFor)) == len(m.Others(silentFor))
+	return len(m.Others(countedTimeout)) == len(m.Others(silenceTimeout))
 }
--- a/src/cluster/members_test.go
+++ b/src/cluster/members_test.go
@@ -14,14 +14,14 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-func TestNewestRecordOfEachNodeStaysInAnyOrder(t *testing.T) {
+func TestNewestRecordWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMembers("self", time.Now)
 		best := map[string][2]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "records") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "node")
 			at := [2]int64{int64(rapid.IntRange(1, 3).Draw(t, "incarnation")), int64(rapid.IntRange(1, 20).Draw(t, "sequence"))}
-			m.Take(&Record{Node: name, Incarnation: at[0], Sequence: at[1]})
+			m.Merge(&Record{Node: name, Incarnation: at[0], Sequence: at[1]})
 			old := best[name]
 			if at[0] > old[0] || at[0] == old[0] && at[1] > old[1] {
 				best[name] = at
@@ -30,38 +30,38 @@
 		for _, member := range m.All() {
 			r := member.Record
 			if best[r.Node] != [2]int64{r.Incarnation, r.Sequence} {
-				t.Fatalf("%s is at %d/%d, the newest was %v", r.Node, r.Incarnation, r.Sequence, best[r.Node])
+				t.Fatalf("%s: got incarnation/sequence %d/%d, want %v", r.Node, r.Incarnation, r.Sequence, best[r.Node])
 			}
 		}
 	})
 }
 
-func TestSilentAndLeavingNodesAreNotGivenToClients(t *testing.T) {
+func TestAliveExcludesSilentAndLeavingNodes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	m := NewMembers("self", func() time.Time { return now })
-	m.Take(&Record{Node: "a", Sequence: 1, Ready: true})
-	m.Take(&Record{Node: "b", Sequence: 1, Ready: true, Leaving: true})
-	m.Take(&Record{Node: "c", Sequence: 1})
+	m.Merge(&Record{Node: "a", Sequence: 1, Ready: true})
+	m.Merge(&Record{Node: "b", Sequence: 1, Ready: true, Leaving: true})
+	m.Merge(&Record{Node: "c", Sequence: 1})
 	is.Equal(len(m.Alive()), 1)
 	is.True(m.AllHeard())
-	now = now.Add(aliveFor + time.Millisecond)
+	now = now.Add(aliveTimeout + time.Millisecond)
 	is.Equal(len(m.Alive()), 0)
-	is.Equal(m.Count(), 4) // they still have their share of limits
+	is.Equal(m.Count(), 4) // silent nodes still have a share of limits
 	is.True(!m.AllHeard())
-	now = now.Add(countedFor)
+	now = now.Add(countedTimeout)
 	is.Equal(m.Count(), 1)
 }
 
-func TestAgreedTimeIsThatOfMostNodes(t *testing.T) {
+func TestAgreedTimeFollowsMajority(t *testing.T) {
 	is := is.New(t)
 	m := NewMembers("self", time.Now)
 	now := time.Now()
-	truth := now.Add(3 * time.Second) // this node's clock is three seconds behind
+	truth := now.Add(3 * time.Second) // the local clock is 3 s behind
 	for i := range 4 {
-		m.Compare(fmt.Sprint("right-", i), truth.Round(0), now)
+		m.RecordClock(fmt.Sprint("right-", i), truth.Round(0), now)
 	}
-	m.Compare("wrong", truth.Add(-time.Hour), now)
+	m.RecordClock("wrong", truth.Add(-time.Hour), now)
 	off := m.AgreedTime(now).Sub(truth.Round(0))
 	is.True(off.Abs() < 50*time.Millisecond)
 }
@@ -80,16 +80,16 @@
 	return n, address
 }
 
-func TestExchangeSpreadsRecordsAndChangesThroughOthers(t *testing.T) {
+func TestExchangeRelaysRecordsAndChanges(t *testing.T) {
 	is := is.New(t)
 	middle, middleAddress := startNode(t, "middle")
 	left, _ := startNode(t, "left", middleAddress)
 	right, _ := startNode(t, "right", middleAddress)
 	right.View.ApplyList([]ports.Item{{Key: "a", Value: []byte("1"), Revision: 7}}, 9)
 	ctx := context.Background()
-	right.Ask(ctx, middleAddress)
-	middle.Ask(ctx, right.Own().Peers) // the middle node asks back for what it lacks
-	left.Ask(ctx, middleAddress)
+	right.ExchangeWith(ctx, middleAddress)
+	middle.ExchangeWith(ctx, right.Own().Peers) // fetches the changes that right has and middle lacks
+	left.ExchangeWith(ctx, middleAddress)
 	it, ok := left.View.Get("a")
 	is.True(ok)
 	is.Equal(string(it.Value), "1")
@@ -100,7 +100,8 @@
 	is.True(names["middle"] && names["right"])
 }
 
-func TestNoRelayRevivesANodeThatIsGone(t *testing.T) {
+// Two nodes that relay each other the record of a dead node must not keep it alive.
+func TestRelayDoesNotReviveDeadNode(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	node := func(name string) *Node {
@@ -113,39 +114,41 @@
 	}
 	a, b := node("a"), node("b")
 	gone := &Record{Node: "gone", Incarnation: 1, Sequence: 9, Ready: true, Callers: "10.0.0.9:80"}
-	a.Members.Take(gone)
+	a.Members.Merge(gone)
 	now = now.Add(time.Second)
-	b.Members.Take(gone) // heard a little later, so that it is forgotten later as well
+	b.Members.Merge(gone) // heard later, so also forgotten later
 	for range 300 {
 		now = now.Add(500 * time.Millisecond)
-		a.Members.Others(aliveFor)
-		b.Members.Others(aliveFor)
+		a.Members.Others(aliveTimeout)
+		b.Members.Others(aliveTimeout)
 		for _, pair := range [][2]*Node{{a, b}, {b, a}} {
-			answer, err := pair[1].Exchange(context.Background(), pair[0].question(Scope_LACKING))
+			answer, err := pair[1].Exchange(context.Background(), pair[0].newRequest(Scope_LACKING))
 			is.NoErr(err)
-			pair[0].take(answer, now)
+			pair[0].mergeMessage(answer, now)
 		}
 		for _, r := range append(a.Members.Alive(), b.Members.Alive()...) {
-			if r.Node == "gone" && now.After(time.Unix(1000, 0).Add(2*aliveFor)) {
-				t.Fatalf("given to clients %s after it was heard", now.Sub(time.Unix(1000, 0)))
+			if r.Node == "gone" && now.After(time.Unix(1000, 0).Add(2*aliveTimeout)) {
+				t.Fatalf("still offered to clients %s after it was last heard from", now.Sub(time.Unix(1000, 0)))
 			}
 		}
 	}
 }
 
-func TestANewNodeLearnsHowLongOthersWereSilent(t *testing.T) {
+// A new node must not take records of silent nodes for fresh ones.
+func TestMergedRecordsKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	m := NewMembers("self", func() time.Time { return now })
-	m.TakeAged(&Record{Node: "silent", Incarnation: 1, Sequence: 5, Ready: true}, 3*aliveFor)
-	m.TakeAged(&Record{Node: "heard", Incarnation: 1, Sequence: 5, Ready: true}, aliveFor/2)
+	m.MergeAged(&Record{Node: "silent", Incarnation: 1, Sequence: 5, Ready: true}, 3*aliveTimeout)
+	m.MergeAged(&Record{Node: "heard", Incarnation: 1, Sequence: 5, Ready: true}, aliveTimeout/2)
 	is.Equal(len(m.Alive()), 1)
-	is.Equal(len(m.Others(countedFor)), 2) // limits and usage still count it
-	is.True(!m.TakeAged(&Record{Node: "long gone", Incarnation: 1}, forgetFor))
+	is.Equal(len(m.Others(countedTimeout)), 2) // still counted for limits and usage
+	is.True(!m.MergeAged(&Record{Node: "long gone", Incarnation: 1}, forgetTimeout))
 }
 
-// Issue 19: a node that started again after its clock had stepped back told records that all others took for old.
-func TestNodeIsHeardAgainAfterItsClockSteppedBack(t *testing.T) {
+// Issue 19: after a clock step, a restarted node sent records that all others
+// considered outdated.
+func TestRestartedNodeRecoversFromClockStepBack(t *testing.T) {
 	is := is.New(t)
 	node := func(name string, incarnation int64) *Node {
 		n := &Node{Members: NewMembers(name, time.Now), View: view.New()}
@@ -161,22 +164,22 @@
 	}
 	for _, scope := range []Scope{Scope_LACKING, Scope_DIRECT, Scope_SUMMARY} {
 		hub, again := node("hub", 7), node("again", 500)
-		hub.Members.Take(&Record{Node: "again", Incarnation: 900, Sequence: 4000})
+		hub.Members.Merge(&Record{Node: "again", Incarnation: 900, Sequence: 4000})
 		for range 2 {
-			answer, err := hub.Exchange(context.Background(), again.question(scope))
+			answer, err := hub.Exchange(context.Background(), again.newRequest(scope))
 			is.NoErr(err)
-			again.take(answer, time.Now())
+			again.mergeMessage(answer, time.Now())
 		}
 		is.Equal(hub.Members.Others(time.Minute)[0].Incarnation, int64(901))
 		is.True(hub.Members.Others(time.Minute)[0].Sequence < 4000)
 	}
 }
 
-func TestOwnRecordCountsOnceAfterItsIncarnationRose(t *testing.T) {
+func TestOwnRecordCountsOnceAfterIncarnationRaise(t *testing.T) {
 	is := is.New(t)
 	m := NewMembers("self", time.Now)
 	for incarnation := range int64(3) {
-		m.Take(&Record{Node: "self", Incarnation: incarnation + 1, Sequence: incarnation + 1, Admitted: []*Tally{{Name: "c", Total: 10}}})
+		m.Merge(&Record{Node: "self", Incarnation: incarnation + 1, Sequence: incarnation + 1, Admitted: []*Tally{{Name: "c", Total: 10}}})
 	}
 	is.Equal(m.Summarize("other", time.Now()).Admitted[0].Total, 10.0)
 }
--- a/src/cluster/roster.go
+++ b/src/cluster/roster.go
@@ -7,102 +7,102 @@
 	"time"
 )
 
-// goneFor is how long a node that is not stored any more is still counted
-// after its last sign of life: a store that lost all leases at once has them
-// back sooner.
-const goneFor = 20 * time.Second
+// removalDelay is how long a node that is no longer stored is counted after it was
+// last seen. It exceeds the time in which entries reappear after the store has lost
+// all leases at once.
+const removalDelay = 20 * time.Second
 
-// Roster is the nodes among which limits are divided, this one included. A
-// node that is stored counts however long it is silent: it may be cut off and
-// use its share. It goes on news alone, when its entry has left the store and
-// nothing was heard of it since for goneFor. Without news the shares of the
-// others do not grow.
+// Roster tracks the nodes among which limits are divided, including this one. A
+// stored node counts no matter how long it has been silent, as it may be cut off and
+// still use its share. It is removed only when its entry has left the store and it
+// has not been heard from for removalDelay. Losing contact therefore never
+// increases the shares of the remaining nodes.
 type Roster struct {
 	mu    sync.Mutex
 	self  string
-	nodes map[string]*place
+	nodes map[string]*rosterNode
 	now   func() time.Time
 }
 
-// place is what is known of one node's membership.
-type place struct {
-	entry  Entry // Peers is empty where the node was never stored
-	stored bool
-	sign   time.Time // when it was last stored or heard
+// rosterNode is the membership state of a node.
+type rosterNode struct {
+	entry    Entry // Peers is empty if the node was never stored
+	stored   bool
+	lastSeen time.Time // when the node was last stored or heard from
 }
 
-// NewRoster returns the roster of the node self, no other known yet.
+// NewRoster returns a roster that contains only the node self.
 func NewRoster(self string, now func() time.Time) *Roster {
-	return &Roster{self: self, nodes: map[string]*place{}, now: now}
+	return &Roster{self: self, nodes: map[string]*rosterNode{}, now: now}
 }
 
-// Stored takes in the entries that stand in the store.
+// SetStored replaces the set of stored entries.
 func (r *Roster) SetStored(entries []Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	for _, p := range r.nodes {
-		if p.stored {
-			p.stored, p.sign = false, now
+	for _, n := range r.nodes {
+		if n.stored {
+			n.stored, n.lastSeen = false, now
 		}
 	}
 	for _, e := range entries {
-		r.nodes[e.Node] = &place{entry: e, stored: true, sign: now}
+		r.nodes[e.Node] = &rosterNode{entry: e, stored: true, lastSeen: now}
 	}
 }
 
-// Heard notes that a node was heard at a moment.
+// Heard records that a node was heard from at the given time.
 func (r *Roster) Heard(node string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.nodes[node]
-	if p == nil {
-		p = &place{entry: Entry{Node: node}}
-		r.nodes[node] = p
+	n := r.nodes[node]
+	if n == nil {
+		n = &rosterNode{entry: Entry{Node: node}}
+		r.nodes[node] = n
 	}
-	if at.After(p.sign) {
-		p.sign = at
+	if at.After(n.lastSeen) {
+		n.lastSeen = at
 	}
 }
 
-// Entries lists the nodes whose addresses the store told, sorted by name.
+// Entries returns the entries of the nodes with a known address, sorted by name.
 func (r *Roster) Entries() []Entry {
 	var out []Entry
-	for _, p := range r.present() {
-		if p.entry.Peers != "" {
-			out = append(out, p.entry)
+	for _, n := range r.current() {
+		if n.entry.Peers != "" {
+			out = append(out, n.entry)
 		}
 	}
 	return out
 }
 
-// Others names the other nodes, sorted.
+// Others returns the names of the other nodes, sorted.
 func (r *Roster) Others() []string {
 	var out []string
-	for _, p := range r.present() {
-		if p.entry.Node != r.self {
-			out = append(out, p.entry.Node)
+	for _, n := range r.current() {
+		if n.entry.Node != r.self {
+			out = append(out, n.entry.Node)
 		}
 	}
 	return out
 }
 
-// Count is the number of nodes, this one included.
+// Count returns the number of nodes, including this one.
 func (r *Roster) Count() int { return len(r.Others()) + 1 }
 
-// present drops the nodes that are gone and returns the others by name.
-func (r *Roster) present() []*place {
+// current removes expired nodes and returns the remaining ones sorted by name.
+func (r *Roster) current() []*rosterNode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	out := make([]*place, 0, len(r.nodes))
+	out := make([]*rosterNode, 0, len(r.nodes))
 	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
-		p := r.nodes[name]
-		if !p.stored && now.Sub(p.sign) > goneFor {
+		n := r.nodes[name]
+		if !n.stored && now.Sub(n.lastSeen) > removalDelay {
 			delete(r.nodes, name)
 			continue
 		}
-		out = append(out, p)
+		out = append(out, n)
 	}
 	return out
 }
--- a/src/cluster/summary.go
+++ b/src/cluster/summary.go
@@ -8,116 +8,116 @@
 	"time"
 )
 
-// Bounds of summaries.
+// Limits of summaries.
 const (
-	LoadMaxAge   = 3 * time.Second       // for which a node's loads and demands count
-	summaryFor   = 3 * time.Second       // for which a summary counts
-	sumsFor      = 50 * time.Millisecond // for which sums serve several summaries
-	heavyMost    = 64                    // servers told one by one
-	callersTold  = 32                    // addresses in one summary
-	callersFresh = 3 * time.Second
+	LoadMaxAge         = 3 * time.Second       // age up to which a node's loads and demands are used
+	summaryTTL         = 3 * time.Second       // age up to which a received summary is used
+	aggregatesTTL      = 50 * time.Millisecond // age up to which aggregates are reused for further summaries
+	maxHeavyServers    = 64                    // servers listed individually
+	maxClientAddresses = 32                    // in one summary
+	clientAddressTTL   = 3 * time.Second
 )
 
-// sums are totals over the records of all members, made for many summaries.
-type sums struct {
+// aggregates are totals over the records of all members, shared by summaries.
+type aggregates struct {
 	at       time.Time
-	records  map[string]*Record // that were summed up, by node
-	admitted map[string]float64 // by customer, past lives included
-	heavy    []serverLoad       // servers with the most tokens to read and requests
-	// Means of the servers that are not among the heavy ones.
+	records  map[string]*Record // by node, those that are included
+	admitted map[string]float64 // by customer, including earlier incarnations
+	heavy    []serverLoad       // servers with the most unread tokens and requests
+	// Means over the servers that are not in heavy.
 	meanRequests, meanUnread float32
-	callers                  []string
+	clientAddresses          []string
 }
 
-// serverLoad is what nodes together have at a server.
+// serverLoad is the load that all nodes together place on a server.
 type serverLoad struct {
 	server   string
 	requests int32
 	unread   int64 // prompt tokens
 }
 
-// heard is a summary as it came from a hub.
-type heard struct {
+// hubSummary is a summary received from a hub.
+type hubSummary struct {
 	summary *Summary
 	hub     string
 	at      time.Time
-	agreed  time.Duration // of the hub's agreed time from the own steady time line
+	agreed  time.Duration // the hub's agreed time minus this node's steady time
 }
 
-// Summary returns what the hub told last, and which life of which hub; ok is false when that
-// is too long ago.
+// Summary returns the last summary received from a hub, the hub and its incarnation,
+// and when it was received. ok is false if it is older than summaryTTL.
 func (m *Members) Summary() (summary *Summary, hub string, at time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := m.heard
-	return h.summary, h.hub, h.at, h.summary != nil && m.now().Sub(h.at) < summaryFor
+	h := m.hubSummary
+	return h.summary, h.hub, h.at, h.summary != nil && m.now().Sub(h.at) < summaryTTL
 }
 
-// TakeSummary keeps what a hub told at a moment.
-func (m *Members) TakeSummary(from *Record, s *Summary, at time.Time) {
+// SetSummary stores a summary that a hub sent at the given local time.
+func (m *Members) SetSummary(hubRecord *Record, s *Summary, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// A hub that began anew knows nothing of before: its sums are others.
-	hub := fmt.Sprintf("%s/%d", from.GetNode(), from.GetIncarnation())
-	m.heard = heard{s, hub, m.now(), time.UnixMicro(s.AgreedUs).Sub(m.steady(at))}
+	// A restarted hub has lost its totals, so its sums are not comparable.
+	hub := fmt.Sprintf("%s/%d", hubRecord.GetNode(), hubRecord.GetIncarnation())
+	m.hubSummary = hubSummary{s, hub, m.now(), time.UnixMicro(s.AgreedUs).Sub(m.steadyTime(at))}
 	for _, address := range s.Callers {
-		m.callers[address] = m.now()
+		m.clientAddresses[address] = m.now()
 	}
-	for address, told := range m.callers {
-		if m.now().Sub(told) > callersFresh {
-			delete(m.callers, address)
+	for address, receivedAt := range m.clientAddresses {
+		if m.now().Sub(receivedAt) > clientAddressTTL {
+			delete(m.clientAddresses, address)
 		}
 	}
 }
 
-// Callers returns up to most addresses of other nodes that clients may be sent to.
-func (m *Members) Callers(most int) []string {
+// Callers returns up to limit addresses of other nodes that clients may be sent to.
+func (m *Members) Callers(limit int) []string {
 	var out []string
 	for _, r := range m.Alive() {
 		out = append(out, r.Callers)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for address, told := range m.callers {
-		if m.now().Sub(told) <= callersFresh && !slices.Contains(out, address) {
+	for address, receivedAt := range m.clientAddresses {
+		if m.now().Sub(receivedAt) <= clientAddressTTL && !slices.Contains(out, address) {
 			out = append(out, address)
 		}
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), most)]
+	return out[:min(len(out), limit)]
 }
 
-// Summarize makes the summary for a node that asks its hub.
+// Summarize returns a summary of all nodes but the one that requests it.
 func (m *Members) Summarize(asker string, now time.Time) *Summary {
 	agreed := m.AgreedTime(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.sums.records == nil || m.now().Sub(m.sums.at) > sumsFor {
-		m.sums = m.sum()
+	if m.aggregates.records == nil || m.now().Sub(m.aggregates.at) > aggregatesTTL {
+		m.aggregates = m.sum()
 	}
-	out := &Summary{Nodes: int32(len(m.sums.records)), AgreedUs: agreed.UnixMicro()}
-	own := m.sums.records[asker]
+	out := &Summary{Nodes: int32(len(m.aggregates.records)), AgreedUs: agreed.UnixMicro()}
+	own := m.aggregates.records[asker]
 	admitted := map[string]float64{}
 	for _, t := range own.GetAdmitted() {
 		admitted[t.Name] = t.Total
 	}
-	for customer, total := range m.sums.admitted {
+	for customer, total := range m.aggregates.admitted {
 		out.Admitted = append(out.Admitted, &Tally{Name: customer, Total: total - admitted[customer]})
 	}
-	out.Heavy = without(m.sums.heavy, own.GetLoads())
-	out.MeanRequests, out.MeanUnread = m.sums.meanRequests, m.sums.meanUnread
-	for range min(callersTold, len(m.sums.callers)) {
-		out.Callers = append(out.Callers, m.sums.callers[rand.IntN(len(m.sums.callers))])
+	out.Heavy = subtractOwn(m.aggregates.heavy, own.GetLoads())
+	out.MeanRequests, out.MeanUnread = m.aggregates.meanRequests, m.aggregates.meanUnread
+	for range min(maxClientAddresses, len(m.aggregates.clientAddresses)) {
+		out.Callers = append(out.Callers, m.aggregates.clientAddresses[rand.IntN(len(m.aggregates.clientAddresses))])
 	}
 	return out
 }
 
-// sum adds up the records of all members.
-func (m *Members) sum() sums {
+// sum aggregates the records of all members.
+func (m *Members) sum() aggregates {
 	now := m.now()
-	out := sums{at: now, records: map[string]*Record{}, admitted: map[string]float64{}}
+	out := aggregates{at: now, records: map[string]*Record{}, admitted: map[string]float64{}}
 	loads := map[string]serverLoad{}
-	for customer, total := range m.past {
+	for customer, total := range m.pastAdmitted {
 		out.admitted[customer] = total
 	}
 	for name, member := range m.members {
@@ -125,12 +125,12 @@
 		for _, t := range r.Admitted {
 			out.admitted[t.Name] += t.Total
 		}
-		if age > countedFor {
+		if age > countedTimeout {
 			continue
 		}
 		out.records[name] = r
-		if age <= aliveFor && r.Ready && !r.Leaving {
-			out.callers = append(out.callers, r.Callers)
+		if age <= aliveTimeout && r.Ready && !r.Leaving {
+			out.clientAddresses = append(out.clientAddresses, r.Callers)
 		}
 		if age > LoadMaxAge {
 			continue
@@ -146,8 +146,8 @@
 	return out
 }
 
-// heaviest returns the servers with the most tokens to read and requests, and
-// the mean of the others that have any.
+// heaviest returns the servers with the most unread tokens and requests, and the
+// means over the remaining ones.
 func heaviest(loads map[string]serverLoad) (heavy []serverLoad, requests, unread float32) {
 	all := make([]serverLoad, 0, len(loads))
 	for id, load := range loads {
@@ -157,7 +157,7 @@
 	slices.SortFunc(all, func(a, b serverLoad) int {
 		return cmp.Or(cmp.Compare(b.unread, a.unread), cmp.Compare(b.requests, a.requests), cmp.Compare(a.server, b.server))
 	})
-	heavy = all[:min(len(all), heavyMost)]
+	heavy = all[:min(len(all), maxHeavyServers)]
 	rest := all[len(heavy):]
 	for _, load := range rest {
 		requests += float32(load.requests) / float32(len(rest))
@@ -166,18 +166,18 @@
 	return heavy, requests, unread
 }
 
-// without returns the loads without a node's own part of them.
-func without(heavy []serverLoad, own []*Load) []*Load {
-	mine := make(map[string]*Load, len(own))
+// subtractOwn returns the loads less the part that the requesting node placed.
+func subtractOwn(heavy []serverLoad, own []*Load) []*Load {
+	ownLoads := make(map[string]*Load, len(own))
 	for _, load := range own {
-		mine[load.Server] = load
+		ownLoads[load.Server] = load
 	}
 	out := make([]*Load, 0, len(heavy))
 	for _, load := range heavy {
 		out = append(out, &Load{
 			Server:       load.server,
-			Requests:     max(load.requests-mine[load.server].GetRequests(), 0),
-			UnreadTokens: max(load.unread-mine[load.server].GetUnreadTokens(), 0),
+			Requests:     max(load.requests-ownLoads[load.server].GetRequests(), 0),
+			UnreadTokens: max(load.unread-ownLoads[load.server].GetUnreadTokens(), 0),
 		})
 	}
 	return out
--- a/src/view/view_test.go
+++ b/src/view/view_test.go
@@ -68,11 +68,11 @@
 			}
 			for key, rev := range versions(v) {
 				if rev < before[key] {
-					t.Fatalf("%s went from %d to %d", key, before[key], rev)
+					t.Fatalf("%s went back from revision %d to %d", key, before[key], rev)
 				}
 			}
 			if v.complete < complete {
-				t.Fatal("complete went back")
+				t.Fatal("the complete revision went back")
 			}
 			checkComplete(t, s, v)
 		}
@@ -80,7 +80,7 @@
 		for _, v := range views[1:] {
 			v.ApplyPeer(views[0].DeltaSince(v.complete))
 			if !maps.Equal(liveRevisions(v), liveRevisions(views[0])) {
-				t.Fatalf("%v and %v", liveRevisions(v), liveRevisions(views[0]))
+				t.Fatalf("views did not converge: %v and %v", liveRevisions(v), liveRevisions(views[0]))
 			}
 		}
 	})
@@ -90,7 +90,7 @@
 func checkComplete(t *rapid.T, s *store, v *View) {
 	for _, it := range s.at(int(v.complete)) {
 		if v.items[it.Key].Revision < it.Revision {
-			t.Fatalf("complete to %d without %s at %d", v.complete, it.Key, it.Revision)
+			t.Fatalf("view claims to be complete to %d, but lacks %s at %d", v.complete, it.Key, it.Revision)
 		}
 	}
 }
