--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -34,7 +34,7 @@
 	Seeds   func() []string
 	Entries func() []Entry // nodes that are stored, including this one
 	// NeedsAllRecords reports whether this node needs the records of all other
-	// nodes although it is not a hub. nil means never.
+	// nodes even if none requests a summary from it. nil means never.
 	NeedsAllRecords func() bool
 	// RaiseIncarnation is called with the incarnation under which other nodes
 	// know this node from before a restart. They ignore its record until it has a
--- a/src/cluster/hub.go
+++ b/src/cluster/hub.go
@@ -12,7 +12,7 @@
 // a summary of the other nodes; hubs exchange the records that they receive. A
 // node becomes a hub when another node requests a summary from it.
 const (
-	maxFlatNodes     = 16                     // largest system that does without hubs
+	maxFlatNodes     = 16                     // nodes of the largest system without hubs
 	nodeInterval     = 500 * time.Millisecond // between rounds of a node that is not a hub
 	minRoundInterval = 60 * time.Millisecond  // between a round and one that was triggered
 	hubTTL           = 3 * time.Second        // a node acts as a hub for this long after a summary was requested
--- a/src/cluster/members.go
+++ b/src/cluster/members.go
@@ -159,16 +159,16 @@
 			continue
 		}
 		k := have[name]
-		if k == nil || newer(member.Record, &Record{Incarnation: k.Incarnation, Sequence: k.Sequence + minRelayLag}) {
+		if k == nil || newer(member.Record, &Record{Incarnation: k.Incarnation, Sequence: k.Sequence + relayLagThreshold}) {
 			out = append(out, member)
 		}
 	}
 	return out
 }
 
-// minRelayLag is the number of updates by which a peer's record must lag behind
-// before a newer one is relayed. Nodes that reach each other need no relay.
-const minRelayLag = 2
+// relayLagThreshold is the number of updates by which a peer may lag behind before
+// a record is relayed to it. Nodes that reach each other need no relay.
+const relayLagThreshold = 2
 
 // Others returns the records of the other nodes heard from within maxAge,
 // sorted by name. It drops the nodes that have exceeded forgetTimeout.
--- a/src/cluster/summary.go
+++ b/src/cluster/summary.go
@@ -87,7 +87,8 @@
 	return out[:min(len(out), limit)]
 }
 
-// Summarize returns a summary of all nodes but the one that requests it.
+// Summarize returns the summary for the node asker: totals over all nodes, less its
+// own part.
 func (m *Members) Summarize(asker string, now time.Time) *Summary {
 	agreed := m.AgreedTime(now)
 	m.mu.Lock()
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -180,10 +180,10 @@
 	l.mu.Unlock()
 }
 
-// Close stops this node from holding the lease. It revokes a lease that was held
-// for at least the TTL, so that another node can acquire it at once. One held for
-// less is left to expire: otherwise a node that held the duties before could act
-// again within a TTL of its own last call.
+// Close stops this node from holding the lease, permanently. It revokes a lease that
+// was held for at least the TTL, so that another node can acquire it at once. One
+// held for less is left to expire: otherwise a node that held the duties before could
+// act again within a TTL of its own last call.
 func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
 	l.closed = true
--- a/src/duty/term_test.go
+++ b/src/duty/term_test.go
@@ -15,7 +15,7 @@
 var errLost = errors.New("response lost")
 
 // memoryStore is an in-memory store with a settable clock. dropResponses makes
-// writes succeed but return an error.
+// writes return an error after they were executed.
 type memoryStore struct {
 	now           time.Time
 	revision      int64
@@ -124,8 +124,8 @@
 	at     time.Time
 }
 
-// Two holders must never act at the same time, and fencing tokens never decrease,
-// despite restarts, frozen processes and lost responses.
+// Holders must not alternate within a TTL, and fencing tokens never decrease or pass
+// to another holder, despite restarts, frozen processes and lost responses.
 func TestSingleHolderActsWithIncreasingFences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore()
