--- a/src/admit/admit_test.go
+++ b/src/admit/admit_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// While all customers wait, each is served in proportion to its weight.
+// With a backlog of every customer, dispatches are in proportion to weights.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 8), 2, 6).Draw(t, "weights")
@@ -29,15 +29,15 @@
 		for c, w := range weights {
 			want := float64(n) * float64(w) / float64(total)
 			got := float64(served[fmt.Sprint(c)])
-			// Every tenth goes to the oldest, which shifts at most that tenth.
-			if got < want*0.9-2 || got > want+n/fairTurns+2 {
-				t.Fatalf("customer %d of weight %d: %v served, %v due of %v", c, w, got, want, weights)
+			// Dispatches of the oldest entry shift the shares by at most their own part.
+			if got < want*0.9-2 || got > want+n/oldestFirstInterval+2 {
+				t.Fatalf("customer %d with weight %d: %v served, want about %v with weights %v", c, w, got, want, weights)
 			}
 		}
 	})
 }
 
-// A low priority is served too, however many of a higher one keep coming.
+// A low priority is not starved by a steady flow of a higher one.
 func TestNoPriorityStarves(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(1000, 1<<20)
@@ -46,27 +46,27 @@
 	for i := range 100 {
 		q.Push(&Entry{Customer: "high", Weight: 1, Priority: 9, Cost: 1})
 		if q.Pop() == low {
-			is.True(i < 2*fairTurns)
+			is.True(i < 2*oldestFirstInterval)
 			return
 		}
 	}
 	is.Fail()
 }
 
-// Under overload, who is refused follows the weights as well: each customer's
-// backlog may be as long as its share is served in the time allowed.
+// Under overload, refusals by CostAhead leave each customer its weighted share
+// and bound the backlog.
 func TestOverloadSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 5), 2, 4).Draw(t, "weights")
 		q := NewQueue(100000, 1<<30)
-		const allowed = 60.0 // cost that may be ahead
+		const allowed = 60.0 // bound on CostAhead
 		served := map[string]int{}
 		total := 0
 		for _, w := range weights {
 			total += w
 		}
 		for round := range 3000 {
-			for c, w := range weights { // all ask for as much, more than there is
+			for c, w := range weights { // equal demand, above the capacity
 				name := fmt.Sprint(c)
 				if q.CostAhead(name, w, 0) < allowed {
 					q.Push(&Entry{Customer: name, Weight: w, Cost: 1})
@@ -79,11 +79,11 @@
 		for c, w := range weights {
 			want := 2000 * float64(w) / float64(total)
 			if got := float64(served[fmt.Sprint(c)]); got < want*0.9 || got > want*1.1 {
-				t.Fatalf("customer %d of weight %d: %v served, %v due of %v", c, w, got, want, weights)
+				t.Fatalf("customer %d with weight %d: %v served, want about %v with weights %v", c, w, got, want, weights)
 			}
 		}
 		if q.Len() > int(allowed)+len(weights) {
-			t.Fatalf("backlog %d", q.Len())
+			t.Fatalf("backlog of %d entries", q.Len())
 		}
 	})
 }
@@ -92,17 +92,16 @@
 	is := is.New(t)
 	q := NewQueue(2, 100)
 	is.True(q.Push(&Entry{Customer: "a", Bytes: 60}))
-	is.True(!q.Push(&Entry{Customer: "a", Bytes: 60})) // bytes
+	is.True(!q.Push(&Entry{Customer: "a", Bytes: 60})) // too many bytes
 	second := &Entry{Customer: "a", Bytes: 10}
 	is.True(q.Push(second))
-	is.True(!q.Push(&Entry{Customer: "b"})) // entries
+	is.True(!q.Push(&Entry{Customer: "b"})) // too many entries
 	is.True(q.Remove(second))
 	is.True(!q.Remove(second))
 	is.Equal(q.Bytes(), 60)
 }
 
-// What the nodes let through together is the limit when they know each
-// other's demand, and never more whatever part of it they know.
+// The shares of all nodes sum to 1 if they see the same demands.
 func TestSharesSumToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "nodes")
@@ -120,7 +119,7 @@
 	})
 }
 
-func TestLimiterTellsWhenToComeBack(t *testing.T) {
+func TestLimiterReturnsRetryDelay(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter("a")
 	at := time.Unix(100, 0)
@@ -131,7 +130,7 @@
 	ok, retry := l.Allow("c", 2, 1, at)
 	is.True(!ok)
 	ok, _ = l.Allow("c", 2, 1, at.Add(retry))
-	is.True(ok) // the time told is true
+	is.True(ok)
 }
 
 func TestLimiterFollowsDemand(t *testing.T) {
@@ -142,21 +141,21 @@
 	for i := range 1000 {
 		l.Allow("c", 10, 2, at.Add(time.Duration(10*i)*time.Millisecond))
 		if i == 10 {
-			is.True(l.share("c", 10, 2, at.Add(100*time.Millisecond)) < 6) // a surge may have begun everywhere
+			is.True(l.localLimit("c", 10, 2, at.Add(100*time.Millisecond)) < 6) // the share adapts gradually
 		}
 	}
 	at = at.Add(10 * time.Second)
-	is.True(l.share("c", 10, 2, at) > 8) // nobody else asks
+	is.True(l.localLimit("c", 10, 2, at) > 8) // no demand at other nodes
 	l.MergeDemand(Demand{"b", "c", 100000, at.Add(time.Second)})
-	l.MergeDemand(Demand{"b", "c", 0, at}) // late news change nothing
+	l.MergeDemand(Demand{"b", "c", 0, at}) // an older reading is ignored
 	for i := range 10 {
-		l.share("c", 10, 2, at.Add(time.Duration(i)*time.Second))
+		l.localLimit("c", 10, 2, at.Add(time.Duration(i)*time.Second))
 	}
-	is.True(l.share("c", 10, 2, at.Add(10*time.Second)) < 2)
+	is.True(l.localLimit("c", 10, 2, at.Add(10*time.Second)) < 2)
 }
 
-// Issue 19, the same class: a node that heard nothing for 30 s took most of the limit.
-func TestPartOfALimitDoesNotGrowWhenNewsStops(t *testing.T) {
+// Regression test: a node without reports for demandExpiry took most of the limit.
+func TestShareDoesNotGrowWhenExchangeStops(t *testing.T) {
 	is := is.New(t)
 	const limit, nodes, steps, step = 100.0, 3, 800, 100 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -168,7 +167,7 @@
 	allowed := 0
 	for i := range steps {
 		now = now.Add(step)
-		for range 10 { // 100 a second, as each of the others asks
+		for range 10 { // 100 per second, as at each of the others
 			if ok, _ := l.Allow("c", limit, nodes, now); ok && i >= steps/2 {
 				allowed++
 			}
@@ -176,7 +175,7 @@
 	}
 	rate := float64(allowed) / (steps / 2 * step.Seconds())
 	is.True(rate < limit/nodes*1.1)
-	l.SetLive([]string{"self"}) // the others are gone: their records have left the store
+	l.SetLive([]string{"self"}) // the other nodes have left
 	allowed = 0
 	for range steps {
 		now = now.Add(step)
--- a/src/admit/limit.go
+++ b/src/admit/limit.go
@@ -7,149 +7,150 @@
 )
 
 const (
-	demandHalfLife = 2 * time.Second
-	demandStale    = 30 * time.Second
-	burstSeconds   = 1.0
-	minShare       = 0.2             // of an even share, left to a node whatever the others say
-	shareHalfLife  = 2 * time.Second // in which half the way to a new share is gone
-	shareStep      = time.Second     // most that counts as having passed between two requests
+	demandHalfLife   = 2 * time.Second
+	demandExpiry     = 30 * time.Second
+	burstSeconds     = 1.0
+	minShareFraction = 0.2             // part of an even share that a node keeps at any demand
+	shareHalfLife    = 2 * time.Second // half-life of the distance to a new share
+	maxShareInterval = time.Second     // upper bound on the time between two share updates
 )
 
-// Demand is one node's reading of one customer's asked-for rate.
+// Demand is one customer's request rate as measured at one node.
 type Demand struct {
 	Node     string
 	Customer string
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second, admitted or not
 	At       time.Time
 }
 
-// Limiter divides each customer's limit over the live nodes by exchanged
-// demand. No call leaves the node when a request is checked.
+// Limiter divides each customer's limit among the live nodes in proportion to
+// the demand they exchange. Checking a request makes no network call.
 type Limiter struct {
-	mu      sync.Mutex
-	self    string
-	own     map[string]*meter
-	heard   map[string]map[string]Demand // by customer, then node
-	live    map[string]bool              // nodes whose last reading holds however old it is
-	buckets map[string]*bucket
-	shares  map[string]*portion
+	mu        sync.Mutex
+	self      string
+	local     map[string]*meter
+	remote    map[string]map[string]Demand // by customer, then node
+	liveNodes map[string]bool              // nodes whose last reading does not expire
+	buckets   map[string]*bucket
+	shares    map[string]*nodeShare
 }
 
-// portion is a node's part of a customer's limit. It moves slowly: when a
-// surge begins at all nodes at once, none of them knows of the others yet.
-type portion struct {
-	part float64
-	at   time.Time
+// nodeShare is this node's fraction of a customer's limit. It changes
+// gradually, because at the start of a surge the nodes have not yet exchanged
+// their demand.
+type nodeShare struct {
+	fraction  float64
+	updatedAt time.Time
 }
 
 type meter struct {
-	rate float64
-	at   time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
 type bucket struct {
-	have float64
-	at   time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// NewLimiter returns the limiter of the node self.
+// NewLimiter returns a limiter for the node named self.
 func NewLimiter(self string) *Limiter {
-	return &Limiter{self: self, own: map[string]*meter{}, heard: map[string]map[string]Demand{}, buckets: map[string]*bucket{}, shares: map[string]*portion{}}
+	return &Limiter{self: self, local: map[string]*meter{}, remote: map[string]map[string]Demand{}, buckets: map[string]*bucket{}, shares: map[string]*nodeShare{}}
 }
 
-// Allow counts one request of a customer with the given limit (requests a
-// second over all nodes; 0 for none). When it is not allowed, retry tells
-// when there will be room.
+// Allow counts one request of a customer against limit, in requests per second
+// over all nodes; 0 means no limit. If the request is not allowed, retry is the
+// time until the next one is.
 func (l *Limiter) Allow(customer string, limit float64, nodes int, now time.Time) (ok bool, retry time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.meter(customer).count(now)
+	l.meter(customer).record(now)
 	if limit <= 0 {
 		return true, 0
 	}
-	rate := l.share(customer, limit, nodes, now)
+	rate := l.localLimit(customer, limit, nodes, now)
 	b := l.buckets[customer]
 	burst := max(rate*burstSeconds, 1)
 	if b == nil {
-		b = &bucket{have: burst, at: now}
+		b = &bucket{tokens: burst, updatedAt: now}
 		l.buckets[customer] = b
 	}
-	b.have = min(b.have+now.Sub(b.at).Seconds()*rate, burst)
-	b.at = now
-	if b.have >= 1 {
-		b.have--
+	b.tokens = min(b.tokens+now.Sub(b.updatedAt).Seconds()*rate, burst)
+	b.updatedAt = now
+	if b.tokens >= 1 {
+		b.tokens--
 		return true, 0
 	}
-	return false, time.Duration((1 - b.have) / rate * float64(time.Second))
+	return false, time.Duration((1 - b.tokens) / rate * float64(time.Second))
 }
 
 func (l *Limiter) meter(customer string) *meter {
-	m := l.own[customer]
+	m := l.local[customer]
 	if m == nil {
 		m = &meter{}
-		l.own[customer] = m
+		l.local[customer] = m
 	}
 	return m
 }
 
-func (m *meter) count(now time.Time) {
-	m.rate = m.read(now) + math.Ln2/demandHalfLife.Seconds()
-	m.at = now
+func (m *meter) record(now time.Time) {
+	m.rate = m.rateAt(now) + math.Ln2/demandHalfLife.Seconds()
+	m.updatedAt = now
 }
 
-func (m *meter) read(now time.Time) float64 {
-	if m.at.IsZero() {
+func (m *meter) rateAt(now time.Time) float64 {
+	if m.updatedAt.IsZero() {
 		return 0
 	}
-	return m.rate * math.Exp2(-now.Sub(m.at).Seconds()/demandHalfLife.Seconds())
+	return m.rate * math.Exp2(-now.Sub(m.updatedAt).Seconds()/demandHalfLife.Seconds())
 }
 
-// share is this node's part of the limit.
-func (l *Limiter) share(customer string, limit float64, nodes int, now time.Time) float64 {
-	demands := map[string]float64{l.self: l.meter(customer).read(now)}
-	for node, d := range l.heard[customer] {
-		if l.holds(d, now) && node != l.self {
+// localLimit returns this node's part of the limit, in requests per second.
+func (l *Limiter) localLimit(customer string, limit float64, nodes int, now time.Time) float64 {
+	demands := map[string]float64{l.self: l.meter(customer).rateAt(now)}
+	for node, d := range l.remote[customer] {
+		if l.isCurrent(d, now) && node != l.self {
 			demands[node] = d.Rate
 		}
 	}
-	return limit * l.portion(customer, nodes, now).move(Share(l.self, demands, max(nodes, 1)), now)
+	return limit * l.nodeShare(customer, nodes, now).moveToward(Share(l.self, demands, max(nodes, 1)), now)
 }
 
-// SetLive tells which nodes are there. What they told last holds while they
-// are silent, so that nobody's part grows because news stops.
+// SetLive sets the live nodes. Their last reported demand stays in use until
+// they report again, so that shares do not grow when the exchange fails.
 func (l *Limiter) SetLive(nodes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.live = make(map[string]bool, len(nodes))
+	l.liveNodes = make(map[string]bool, len(nodes))
 	for _, name := range nodes {
-		l.live[name] = true
+		l.liveNodes[name] = true
 	}
 }
 
-// holds tells whether a reading still counts.
-func (l *Limiter) holds(d Demand, now time.Time) bool {
-	return l.live[d.Node] || now.Sub(d.At) < demandStale
+// isCurrent reports whether a reading is still used.
+func (l *Limiter) isCurrent(d Demand, now time.Time) bool {
+	return l.liveNodes[d.Node] || now.Sub(d.At) < demandExpiry
 }
 
-func (l *Limiter) portion(customer string, nodes int, now time.Time) *portion {
-	p := l.shares[customer]
-	if p == nil || now.Sub(p.at) > demandStale {
-		p = &portion{part: 1 / float64(max(nodes, 1)), at: now}
-		l.shares[customer] = p
+func (l *Limiter) nodeShare(customer string, nodes int, now time.Time) *nodeShare {
+	share := l.shares[customer]
+	if share == nil || now.Sub(share.updatedAt) > demandExpiry {
+		share = &nodeShare{fraction: 1 / float64(max(nodes, 1)), updatedAt: now}
+		l.shares[customer] = share
 	}
-	return p
+	return share
 }
 
-func (p *portion) move(target float64, now time.Time) float64 {
-	passed := min(now.Sub(p.at), shareStep)
-	p.part += (target - p.part) * (1 - math.Exp2(-passed.Seconds()/shareHalfLife.Seconds()))
-	p.at = now
-	return p.part
+func (s *nodeShare) moveToward(target float64, now time.Time) float64 {
+	elapsed := min(now.Sub(s.updatedAt), maxShareInterval)
+	s.fraction += (target - s.fraction) * (1 - math.Exp2(-elapsed.Seconds()/shareHalfLife.Seconds()))
+	s.updatedAt = now
+	return s.fraction
 }
 
-// Share is the part, 0 to 1, that falls to self of what is divided by demand.
-// Every node keeps a small part whatever the others ask, and the parts of all
-// nodes sum to 1 when they know the same demands.
+// Share returns the fraction, 0 to 1, of a limit that the node self gets when
+// it is divided by demand. Every node keeps a minimum at any demand. The shares
+// of all nodes sum to 1 if they see the same demands.
 func Share(self string, demands map[string]float64, nodes int) float64 {
 	nodes = max(nodes, len(demands))
 	total := 0.0
@@ -160,44 +161,44 @@
 	if total <= 0 {
 		return even
 	}
-	return even*minShare + (1-minShare)*demands[self]/total
+	return even*minShareFraction + (1-minShareFraction)*demands[self]/total
 }
 
-// Own returns this node's readings.
+// LocalDemand returns the demand measured at this node.
 func (l *Limiter) LocalDemand(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Demand
-	for c, m := range l.own {
-		if rate := m.read(now); rate > 0.01 {
+	for c, m := range l.local {
+		if rate := m.rateAt(now); rate > 0.01 {
 			out = append(out, Demand{l.self, c, rate, now})
 		}
 	}
 	return out
 }
 
-// Heard takes in another node's reading; an older one is dropped.
+// MergeDemand stores another node's reading unless a newer one is known.
 func (l *Limiter) MergeDemand(d Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.heard[d.Customer]
+	m := l.remote[d.Customer]
 	if m == nil {
 		m = map[string]Demand{}
-		l.heard[d.Customer] = m
+		l.remote[d.Customer] = m
 	}
 	if d.Node != l.self && d.At.After(m[d.Node].At) {
 		m[d.Node] = d
 	}
 }
 
-// Sample returns up to n of the readings heard, for passing on.
+// Sample returns up to n readings of other nodes, to be forwarded.
 func (l *Limiter) Sample(n int, now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Demand
-	for _, m := range l.heard {
+	for _, m := range l.remote {
 		for node, d := range m {
-			if !l.holds(d, now) {
+			if !l.isCurrent(d, now) {
 				delete(m, node)
 			} else if len(out) < n {
 				out = append(out, d)
--- a/src/admit/queue.go
+++ b/src/admit/queue.go
@@ -1,6 +1,6 @@
-// Package admit decides which requests may go on to an upstream, in which
-// order, and which are refused at once. Its rules are pure; the clock is
-// passed in.
+// Package admit implements admission control: rate limits shared by all nodes
+// and a bounded queue with priorities and weighted fair sharing. The caller
+// passes in the current time.
 package admit
 
 import (
@@ -8,46 +8,48 @@
 	"time"
 )
 
-// fairTurns is how often, in dispatches, the request that has waited longest
-// goes first whatever its priority, so that no priority starves another.
-const fairTurns = 10
+// oldestFirstInterval is the number of dispatches after which the oldest entry
+// is taken regardless of priority, so that low priorities are not starved.
+const oldestFirstInterval = 10
 
 // Entry is one waiting request.
 type Entry struct {
 	Customer   string
-	Weight     int // share of the customer, at least 1
+	Weight     int // weight of the customer, at least 1
 	Priority   int
-	Cost       float64 // any unit, the same for all
+	Cost       float64 // in any unit that is the same for all entries
 	Bytes      int
 	EnqueuedAt time.Time
 	Value      any
 
-	finish float64 // virtual time at which it would end under fair sharing
-	seq    int64
+	virtualFinish float64 // virtual finish time under fair queueing
+	seq           int64
 }
 
-// Queue holds waiting requests. Within a priority, customers share by weight
-// (start-time fair queueing); a higher priority goes first, but for every
-// tenth dispatch, which takes the oldest. It is not safe for several goroutines.
+// Queue holds waiting requests. Higher priorities go first, and within a
+// priority customers share by weight (start-time fair queueing). Every
+// oldestFirstInterval-th dispatch takes the oldest entry instead. A Queue is
+// not safe for concurrent use.
 type Queue struct {
-	maxEntries int
-	maxBytes   int
-	bytes      int
-	cost       float64
-	seq        int64
-	virtual    float64
-	turn       int
-	last       map[string]float64    // virtual finish of each customer's newest entry
-	waiting    map[string]*list.List // by customer, in order of arrival within a priority
-	count      int
+	maxEntries  int
+	maxBytes    int
+	bytes       int
+	cost        float64
+	seq         int64
+	virtualTime float64
+	dispatches  int
+	lastFinish  map[string]float64    // virtual finish time of each customer's newest entry
+	byCustomer  map[string]*list.List // in order of arrival
+	count       int
 }
 
-// NewQueue returns an empty queue with its bounds.
+// NewQueue returns an empty queue that holds at highest maxEntries entries and
+// maxBytes bytes.
 func NewQueue(maxEntries, maxBytes int) *Queue {
-	return &Queue{maxEntries: maxEntries, maxBytes: maxBytes, last: map[string]float64{}, waiting: map[string]*list.List{}}
+	return &Queue{maxEntries: maxEntries, maxBytes: maxBytes, lastFinish: map[string]float64{}, byCustomer: map[string]*list.List{}}
 }
 
-// Push adds an entry; false when the queue is full.
+// Push adds an entry. It returns false if the queue is full.
 func (q *Queue) Push(e *Entry) bool {
 	if q.count >= q.maxEntries || q.bytes+e.Bytes > q.maxBytes {
 		return false
@@ -56,28 +58,29 @@
 	return true
 }
 
-// Most is the highest priority that waits; -1 when nothing does.
+// HighestPriority returns the highest priority in the queue, or -1 if it is empty.
 func (q *Queue) HighestPriority() int {
-	most := -1
-	for _, l := range q.waiting {
+	highest := -1
+	for _, l := range q.byCustomer {
 		for el := l.Front(); el != nil; el = el.Next() {
-			most = max(most, el.Value.(*Entry).Priority)
+			highest = max(highest, el.Value.(*Entry).Priority)
 		}
 	}
-	return most
+	return highest
 }
 
-// Force adds an entry whatever the bounds: work that has begun and must not be lost.
+// PushUnbounded adds an entry even if the queue is full. It is for requests
+// that have already started and must not be dropped.
 func (q *Queue) PushUnbounded(e *Entry) {
 	q.seq++
 	e.seq = q.seq
-	start := max(q.virtual, q.last[e.Customer])
-	e.finish = start + e.Cost/float64(max(e.Weight, 1))
-	q.last[e.Customer] = e.finish
-	l := q.waiting[e.Customer]
+	start := max(q.virtualTime, q.lastFinish[e.Customer])
+	e.virtualFinish = start + e.Cost/float64(max(e.Weight, 1))
+	q.lastFinish[e.Customer] = e.virtualFinish
+	l := q.byCustomer[e.Customer]
 	if l == nil {
 		l = list.New()
-		q.waiting[e.Customer] = l
+		q.byCustomer[e.Customer] = l
 	}
 	l.PushBack(e)
 	q.count++
@@ -85,98 +88,98 @@
 	q.cost += e.Cost
 }
 
-// Pop takes the next entry, or nil.
+// Pop removes and returns the next entry, or nil if the queue is empty.
 func (q *Queue) Pop() *Entry {
 	if q.count == 0 {
 		return nil
 	}
-	q.turn++
-	better := moreUrgent
-	if q.turn%fairTurns == 0 {
-		better = older
+	q.dispatches++
+	less := higherPriority
+	if q.dispatches%oldestFirstInterval == 0 {
+		less = arrivedEarlier
 	}
-	bestList, best := q.find(better)
-	return q.take(bestList, best)
+	bestList, best := q.findFirst(less)
+	return q.removeElement(bestList, best)
 }
 
-// PopUrgent takes the entry of the highest priority whatever the turn, or nil.
+// PopHighestPriority removes and returns the first entry by priority, also when
+// it is the oldest entry's turn. It returns nil if the queue is empty.
 func (q *Queue) PopHighestPriority() *Entry {
-	bestList, best := q.find(moreUrgent)
+	bestList, best := q.findFirst(higherPriority)
 	if best == nil {
 		return nil
 	}
-	return q.take(bestList, best)
+	return q.removeElement(bestList, best)
 }
 
-// find returns the entry that goes before all others.
-func (q *Queue) find(better func(a, b *Entry) bool) (in *list.List, best *list.Element) {
-	for _, l := range q.waiting {
+// findFirst returns the entry that less orders before all others, and its list.
+func (q *Queue) findFirst(less func(a, b *Entry) bool) (bestList *list.List, best *list.Element) {
+	for _, l := range q.byCustomer {
 		for el := l.Front(); el != nil; el = el.Next() {
-			if best == nil || better(el.Value.(*Entry), best.Value.(*Entry)) {
-				best, in = el, l
+			if best == nil || less(el.Value.(*Entry), best.Value.(*Entry)) {
+				best, bestList = el, l
 			}
 		}
 	}
-	return in, best
+	return bestList, best
 }
 
-func moreUrgent(a, b *Entry) bool {
+func higherPriority(a, b *Entry) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
-	if a.finish != b.finish {
-		return a.finish < b.finish
+	if a.virtualFinish != b.virtualFinish {
+		return a.virtualFinish < b.virtualFinish
 	}
 	return a.seq < b.seq
 }
 
-func older(a, b *Entry) bool { return a.seq < b.seq }
+func arrivedEarlier(a, b *Entry) bool { return a.seq < b.seq }
 
-// Remove takes out an entry that no longer waits; false when it is not there.
+// Remove removes an entry. It returns false if the entry is not in the queue.
 func (q *Queue) Remove(e *Entry) bool {
-	l := q.waiting[e.Customer]
+	l := q.byCustomer[e.Customer]
 	if l == nil {
 		return false
 	}
 	for el := l.Front(); el != nil; el = el.Next() {
 		if el.Value == e {
-			q.take(l, el)
+			q.removeElement(l, el)
 			return true
 		}
 	}
 	return false
 }
 
-func (q *Queue) take(l *list.List, el *list.Element) *Entry {
+func (q *Queue) removeElement(l *list.List, el *list.Element) *Entry {
 	e := l.Remove(el).(*Entry)
 	if l.Len() == 0 {
-		delete(q.waiting, e.Customer)
+		delete(q.byCustomer, e.Customer)
 	}
 	q.count--
 	q.bytes -= e.Bytes
 	q.cost -= e.Cost
-	q.virtual = max(q.virtual, e.finish-e.Cost/float64(max(e.Weight, 1)))
+	q.virtualTime = max(q.virtualTime, e.virtualFinish-e.Cost/float64(max(e.Weight, 1)))
 	if q.count == 0 {
-		clear(q.last)
-		q.virtual = 0
+		clear(q.lastFinish)
+		q.virtualTime = 0
 	}
 	return e
 }
 
-// Len is the number of entries, and Bytes their size.
+// Len returns the number of entries.
 func (q *Queue) Len() int { return q.count }
 
-// Bytes is the size of all entries.
+// Bytes returns the total size of the entries.
 func (q *Queue) Bytes() int { return q.bytes }
 
-// Ahead is the cost that would be served before a new entry of a customer
-// starts: all of higher priority, and of its own priority what its fair share
-// lets go first. A customer below its share is not kept out by another's
-// backlog, and one above it learns how long its own is.
+// CostAhead estimates the cost served before a new entry of a customer starts:
+// all entries of higher priority, and of the same priority the customer's own
+// backlog together with what fair sharing serves of the others meanwhile.
 func (q *Queue) CostAhead(customer string, weight, priority int) float64 {
-	higher, equal, own := 0.0, 0.0, 0.0
+	higher, same, own := 0.0, 0.0, 0.0
 	weights := float64(max(weight, 1))
-	for name, l := range q.waiting {
+	for name, l := range q.byCustomer {
 		counted := false
 		for el := l.Front(); el != nil; el = el.Next() {
 			e := el.Value.(*Entry)
@@ -184,7 +187,7 @@
 			case e.Priority > priority:
 				higher += e.Cost
 			case e.Priority == priority:
-				equal += e.Cost
+				same += e.Cost
 				if name == customer {
 					own += e.Cost
 				} else if !counted {
@@ -194,5 +197,5 @@
 			}
 		}
 	}
-	return higher + min(own*weights/float64(max(weight, 1)), equal)
+	return higher + min(own*weights/float64(max(weight, 1)), same)
 }
--- a/src/admit/shared_test.go
+++ b/src/admit/shared_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-var sharedStart = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func TestSharedLimitHoldsOverAllNodesAndAnyWindow(t *testing.T) {
 	const (
@@ -21,20 +21,20 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
-		lag := rapid.IntRange(1, 8).Draw(t, "lag of the exchange in steps")
-		cut := rapid.IntRange(-1, nodes-1).Draw(t, "node cut off from the others")
-		load := rapid.Float64Range(0.2, 6).Draw(t, "asked, as a multiple of the limit")
+		interval := rapid.IntRange(1, 8).Draw(t, "steps between two exchanges")
+		partitioned := rapid.IntRange(-1, nodes-1).Draw(t, "partitioned node")
+		load := rapid.Float64Range(0.2, 6).Draw(t, "demand as a multiple of the limit")
 		over := Tolerance{Window: window, Overage: 0.1, Slack: slack}
-		limiters := beginAll(nodes, over, sharedStart)
-		kills := rapid.SliceOfN(rapid.IntRange(1, steps-1), 0, 2).Draw(t, "steps at which all nodes begin anew")
+		limiters := newLimiters(nodes, over, startTime)
+		restarts := rapid.SliceOfN(rapid.IntRange(1, steps-1), 0, 2).Draw(t, "steps at which all nodes restart")
 		admitted := make([]float64, steps)
 		for at := range steps {
-			now := sharedStart.Add(time.Duration(at) * step)
-			if slices.Contains(kills, at) {
-				limiters = beginAll(nodes, over, now)
+			now := startTime.Add(time.Duration(at) * step)
+			if slices.Contains(restarts, at) {
+				limiters = newLimiters(nodes, over, now)
 			}
-			if at%lag == 0 {
-				tellAll(limiters, cut, now)
+			if at%interval == 0 {
+				exchangeTotals(limiters, partitioned, now)
 			}
 			for range int(load * rate * step.Seconds() / 10) {
 				i := rapid.IntRange(0, nodes-1).Draw(t, "node")
@@ -47,30 +47,30 @@
 	})
 }
 
-// checkWindows fails when more than most was admitted in any window.
-func checkWindows(t *rapid.T, admitted []float64, perWindow int, most float64) {
+// checkWindows fails the test if more than limit was admitted in any window.
+func checkWindows(t *rapid.T, admitted []float64, perWindow int, limit float64) {
 	for from := 0; from+perWindow <= len(admitted); from++ {
 		sum := 0.0
 		for _, count := range admitted[from : from+perWindow] {
 			sum += count
 		}
-		if sum > most {
-			t.Fatalf("%g admitted in a window, at most %g", sum, most)
+		if sum > limit {
+			t.Fatalf("%g admitted in a window, want at most %g", sum, limit)
 		}
 	}
 }
 
-// beginAll returns the limiters of nodes that all begin at a moment.
-func beginAll(nodes int, over Tolerance, now time.Time) []*SharedLimiter {
+// newLimiters returns the limiters of nodes that all start at now.
+func newLimiters(nodes int, over Tolerance, now time.Time) []*SharedLimiter {
 	limiters := make([]*SharedLimiter, nodes)
 	for i := range limiters {
 		limiters[i] = NewSharedLimiter(now, over)
-		limiters[i].SetPeers(othersOf(i, nodes))
+		limiters[i].SetPeers(peersOf(i, nodes))
 	}
 	return limiters
 }
 
-func othersOf(self, nodes int) []string {
+func peersOf(self, nodes int) []string {
 	var out []string
 	for i := range nodes {
 		if i != self {
@@ -80,20 +80,20 @@
 	return out
 }
 
-func tellAll(limiters []*SharedLimiter, cut int, now time.Time) {
+func exchangeTotals(limiters []*SharedLimiter, partitioned int, now time.Time) {
 	for i, from := range limiters {
 		for j, to := range limiters {
-			if i != j && i != cut && j != cut {
+			if i != j && i != partitioned && j != partitioned {
 				to.MergeTotals(fmt.Sprint(i), 1, from.Totals(), now)
 			}
 		}
 	}
 }
 
-func TestRefundedRequestsTakeNothing(t *testing.T) {
+func TestRefundedRequestsCostNothing(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second})
-	now := sharedStart.Add(2 * time.Second)
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second})
+	now := startTime.Add(2 * time.Second)
 	for range 100 {
 		ok, _ := l.Take("c", 200, 0, 100, 800, now)
 		is.True(ok)
@@ -102,10 +102,10 @@
 	is.Equal(l.Totals()["c"], 0.0)
 }
 
-func TestRefusalTellsWhenThereIsRoom(t *testing.T) {
+func TestRefusalReturnsWaitTime(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second})
-	now := sharedStart.Add(2 * time.Second)
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second})
+	now := startTime.Add(2 * time.Second)
 	for {
 		ok, wait := l.Take("c", 50, 0, 100, 400, now)
 		if ok {
@@ -118,10 +118,10 @@
 	}
 }
 
-func TestUrgentRequestsFindRoomThatOthersLeft(t *testing.T) {
+func TestHigherPriorityUsesTheReserve(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second})
-	now := sharedStart.Add(2 * time.Second)
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second})
+	now := startTime.Add(2 * time.Second)
 	for {
 		if ok, _ := l.Take("c", 5, 2, 100, 800, now); !ok {
 			break
@@ -131,13 +131,13 @@
 	is.True(ok)
 }
 
-func TestSizeDoesNotDecideWhoIsRefused(t *testing.T) {
+func TestRefusalRateDoesNotDependOnCost(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second})
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second})
 	asked, passed := map[float64]int{}, map[float64]int{}
 	for at := range 4000 {
-		now := sharedStart.Add(time.Duration(at) * 10 * time.Millisecond)
-		cost := []float64{20, 20, 20, 200}[at%4] // three times the rate in all
+		now := startTime.Add(time.Duration(at) * 10 * time.Millisecond)
+		cost := []float64{20, 20, 20, 200}[at%4] // demand of three times the rate
 		ok, _ := l.Take("c", cost, 0, 2000, 2000, now)
 		asked[cost]++
 		if ok {
@@ -150,10 +150,10 @@
 	is.True(large > 0.8*small)
 }
 
-func TestTinyRequestsPassWhereOthersAreRefused(t *testing.T) {
+func TestSmallRequestsPassWhenOthersAreRefused(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second})
-	now := sharedStart.Add(2 * time.Second)
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second})
+	now := startTime.Add(2 * time.Second)
 	for {
 		if ok, _ := l.Take("c", 50, 0, 1000, 1000, now); !ok {
 			break
@@ -163,25 +163,25 @@
 	is.True(ok)
 }
 
-func TestABurstAtOneNodeIsNotTakenForABurstAtAll(t *testing.T) {
+func TestLocalBurstIsNotExtrapolatedToAllNodes(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
-	l.SetPeers(othersOf(0, 9))
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
+	l.SetPeers(peersOf(0, 9))
 	for at := range 40 {
-		now := sharedStart.Add(time.Duration(at) * 100 * time.Millisecond)
+		now := startTime.Add(time.Duration(at) * 100 * time.Millisecond)
 		for node := 1; node < 9; node++ {
 			l.MergeTotals(fmt.Sprint(node), 1, map[string]float64{"c": 0}, now)
 		}
 	}
-	now := sharedStart.Add(4 * time.Second)
+	now := startTime.Add(4 * time.Second)
 	for range 3 {
-		// In all a quarter of what the bucket holds.
+		// Three requests take about a quarter of the depth.
 		ok, _ := l.Take("c", 50, 1, 1000, 1000, now)
 		is.True(ok)
 	}
 }
 
-func TestSharedLimitHoldsWhereASumTellsOfManyNodes(t *testing.T) {
+func TestSharedLimitHoldsWithAggregatedTotals(t *testing.T) {
 	const (
 		rate, burst, slack = 40000.0, 40000.0, 4500.0
 		cost               = 200.0
@@ -191,23 +191,23 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(17, 60).Draw(t, "nodes")
-		lag := rapid.IntRange(2, 6).Draw(t, "steps between two sums")
-		surge := rapid.IntRange(0, steps/2).Draw(t, "step at which the load rises")
-		load := rapid.Float64Range(0.5, 5).Draw(t, "asked from then on, as a multiple of the limit")
+		interval := rapid.IntRange(2, 6).Draw(t, "steps between two sums")
+		surge := rapid.IntRange(0, steps/2).Draw(t, "step at which the surge starts")
+		load := rapid.Float64Range(0.5, 5).Draw(t, "demand during the surge as a multiple of the limit")
 		over := Tolerance{Window: window, Overage: 0.1, Slack: slack}
 		limiters := make([]*SharedLimiter, nodes)
 		for i := range limiters {
-			limiters[i] = NewSharedLimiter(sharedStart, over)
+			limiters[i] = NewSharedLimiter(startTime, over)
 			limiters[i].SetAggregate("hub", nodes-1)
 		}
 		admitted := make([]float64, steps)
 		var sums []float64
 		for at := range steps {
-			now := sharedStart.Add(time.Duration(at) * step)
-			if at%lag == 0 {
-				// What is told was gathered a while ago.
-				tellSums(limiters, sums, now)
-				sums = sumsOf(limiters)
+			now := startTime.Add(time.Duration(at) * step)
+			if at%interval == 0 {
+				// The sums are reported one interval after they were taken.
+				sendSums(limiters, sums, now)
+				sums = sumsOfOthers(limiters)
 			}
 			asked := 0.5
 			if at >= surge {
@@ -224,8 +224,8 @@
 	})
 }
 
-// sumsOf is what all the others of each limiter have admitted.
-func sumsOf(limiters []*SharedLimiter) []float64 {
+// sumsOfOthers returns, for each limiter, the total admitted by all others.
+func sumsOfOthers(limiters []*SharedLimiter) []float64 {
 	all := 0.0
 	for _, l := range limiters {
 		all += l.Totals()["c"]
@@ -237,16 +237,16 @@
 	return out
 }
 
-func tellSums(limiters []*SharedLimiter, sums []float64, now time.Time) {
+func sendSums(limiters []*SharedLimiter, sums []float64, now time.Time) {
 	for i, sum := range sums {
 		limiters[i].MergeTotals("hub", 1, map[string]float64{"c": sum}, now)
 	}
 }
 
-func TestANodeThatBeginsAdmitsAtOnce(t *testing.T) {
+func TestNewNodeAdmitsImmediately(t *testing.T) {
 	is := is.New(t)
-	l := NewSharedLimiter(sharedStart, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
-	l.SetPeers(othersOf(0, 9)) // none of them heard yet
-	ok, _ := l.Take("c", 50, 1, 1000, 1000, sharedStart.Add(10*time.Millisecond))
+	l := NewSharedLimiter(startTime, Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 600})
+	l.SetPeers(peersOf(0, 9)) // no report received yet
+	ok, _ := l.Take("c", 50, 1, 1000, 1000, startTime.Add(10*time.Millisecond))
 	is.True(ok)
 }
