--- a/src/claim/attempts.go
+++ b/src/claim/attempts.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// State is where an attempt stands at its coordinator.
+// State is the state of an attempt at its coordinator.
 type State int
 
-// The states of an attempt. Released and Done are final; a released attempt
-// is never sent.
+// States of an attempt. Released and Done are final, and a released attempt is
+// never sent.
 const (
 	Unknown State = iota
 	Claiming
@@ -18,8 +18,8 @@
 	Done
 )
 
-// Attempts is a coordinator's own list of its attempts. Whether an attempt is
-// sent or released is decided here, under one lock.
+// Attempts tracks the attempts of one coordinator. Its lock decides between
+// sending an attempt and releasing it.
 type Attempts struct {
 	mu     sync.Mutex
 	states map[string]attemptState
@@ -30,53 +30,53 @@
 	since time.Time
 }
 
-// NewAttempts returns an empty list.
+// NewAttempts returns an empty Attempts.
 func NewAttempts() *Attempts { return &Attempts{states: map[string]attemptState{}} }
 
-// Begin enters a new attempt.
+// Begin adds a new attempt in state Claiming.
 func (a *Attempts) Begin(id string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.states[id] = attemptState{Claiming, now}
 }
 
-// Send marks the attempt as sent; false when it was released before. The
-// caller must not send on false.
+// Send marks the attempt as sent. If it returns false, the attempt was released
+// and the caller must not send it.
 func (a *Attempts) Send(id string, now time.Time) bool {
-	return a.move(id, now, Sent, Claiming)
+	return a.transition(id, now, Sent, Claiming)
 }
 
-// Release marks the attempt as never to be sent; false when it was sent.
+// Release marks the attempt as released. It returns false if it was already sent.
 func (a *Attempts) Release(id string, now time.Time) bool {
-	return a.move(id, now, Released, Claiming, Released)
+	return a.transition(id, now, Released, Claiming, Released)
 }
 
-// Withdraw marks the attempt as released although it was about to be sent. It
-// is for the goroutine that runs the attempt, once it knows that no byte of
-// it reached an upstream and that none will.
+// Withdraw marks the attempt as released even if it is in state Sent. Only the
+// goroutine that runs the attempt may call it, and only if no byte of the
+// request has reached an upstream or will.
 func (a *Attempts) Withdraw(id string, now time.Time) {
-	a.move(id, now, Released, Claiming, Sent)
+	a.transition(id, now, Released, Claiming, Sent)
 }
 
-// Released tells whether the attempt was released.
+// Released reports whether the attempt was released.
 func (a *Attempts) Released(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.states[id].state == Released
 }
 
-// Finish marks a sent attempt as ended.
-func (a *Attempts) Finish(id string, now time.Time) { a.move(id, now, Done, Sent) }
+// Finish marks a sent attempt as done.
+func (a *Attempts) Finish(id string, now time.Time) { a.transition(id, now, Done, Sent) }
 
-func (a *Attempts) move(id string, now time.Time, to State, from ...State) bool {
+func (a *Attempts) transition(id string, now time.Time, to State, from ...State) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	have, ok := a.states[id]
+	current, ok := a.states[id]
 	if !ok {
 		return false
 	}
 	for _, f := range from {
-		if have.state == f {
+		if current.state == f {
 			a.states[id] = attemptState{to, now}
 			return true
 		}
@@ -84,23 +84,24 @@
 	return false
 }
 
-// Yield answers a rival's question. An attempt that still claims gives way to
-// a rival with the smaller id, so that of two rivals exactly one gives way.
+// Yield returns the state of an attempt to a rival for the same key. An attempt
+// in state Claiming is released first if the rival has the smaller ID, so that
+// exactly one of two rivals yields.
 func (a *Attempts) Yield(id, rival string, now time.Time) State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	have, ok := a.states[id]
+	current, ok := a.states[id]
 	if !ok {
 		return Unknown
 	}
-	if have.state == Claiming && rival != "" && rival < id {
-		have = attemptState{Released, now}
-		a.states[id] = have
+	if current.state == Claiming && rival != "" && rival < id {
+		current = attemptState{Released, now}
+		a.states[id] = current
 	}
-	return have.state
+	return current.state
 }
 
-// Expire forgets ended attempts older than window.
+// Expire removes attempts that ended more than window ago.
 func (a *Attempts) Expire(now time.Time, window time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/src/claim/claim_test.go
+++ b/src/claim/claim_test.go
@@ -9,41 +9,41 @@
 	"pgregory.net/rapid"
 )
 
-// network is a fleet of keepers and coordinators of one shard whose messages
-// wait in a bag: any may be delivered next, late, twice or never.
+// network simulates the keepers and coordinators of one shard. Pending messages
+// may be delivered in any order, more than once or never.
 type network struct {
 	t        *rapid.T
 	now      time.Time
-	current  Map // in the key-value service
+	current  Map // the map in the key-value service
 	nodes    []*modelNode
-	bag      []message
+	messages []message
 	attempts []*modelAttempt
-	sent     map[string]int // by key
-	tried    map[string]bool
+	sent     map[string]int  // by key
+	used     map[string]bool // keys for which claims were sent
 }
 
 type modelNode struct {
-	self   Node
-	ledger *Ledger
-	own    *Attempts
-	known  Map
-	gen    int
+	self     Node
+	ledger   *Ledger
+	states   *Attempts
+	shardMap Map
+	gen      int
 }
 
-// modelAttempt is one attempt and its round of claims.
+// modelAttempt is an attempt and its current round of claims.
 type modelAttempt struct {
 	id, key    string
 	node       int
-	gen        int // of the node; an attempt dies with its incarnation
+	gen        int // generation of the node that started the attempt
 	round      int
 	tally      *Tally
-	heard      map[int]bool // keepers whose reply of this round is counted: a call returns once
+	replied    map[int]bool // keepers whose reply in this round has been counted
 	superseded []string
 	sent       bool
 	notRun     bool
 }
 
-// message is a claim on its way to a keeper, or its reply on the way back.
+// message is a claim sent to a keeper, or the keeper's reply.
 type message struct {
 	to      int
 	gen     int
@@ -54,37 +54,37 @@
 }
 
 const (
-	modelNodes    = 4 // three keepers and one that can take a keeper's place
+	modelNodes    = 4 // three keepers and a spare
 	modelAttempts = 6
 )
 
 func newNetwork(t *rapid.T) *network {
-	n := &network{t: t, now: time.Unix(1000, 0), sent: map[string]int{}, tried: map[string]bool{}}
+	n := &network{t: t, now: time.Unix(1000, 0), sent: map[string]int{}, used: map[string]bool{}}
 	for i := range modelNodes {
 		n.nodes = append(n.nodes, &modelNode{})
-		n.boot(i)
+		n.restart(i)
 	}
 	n.current = NewMap(1, n.fleet(nil))
 	for i := range n.nodes {
-		n.learn(i)
+		n.observeMap(i)
 	}
 	return n
 }
 
-func (n *network) boot(i int) {
+func (n *network) restart(i int) {
 	m := n.nodes[i]
 	m.gen++
 	m.self = Node{Name: fmt.Sprintf("n%d", i), Incarnation: fmt.Sprint(m.gen), FailureDomain: fmt.Sprintf("d%d", i)}
 	m.ledger = NewLedger(m.self, Limits{Window: time.Hour, MaxRecords: 100})
-	m.own = NewAttempts()
-	m.known = Map{}
+	m.states = NewAttempts()
+	m.shardMap = Map{}
 }
 
-// fleet is how a writer of the map sees the nodes; silent ones look dead to it.
-func (n *network) fleet(silent map[int]bool) Fleet {
+// fleet returns the nodes as the writer of the map sees them.
+func (n *network) fleet(unreachable map[int]bool) Fleet {
 	f := Fleet{Live: map[string]Node{}, NowMS: n.now.UnixMilli()}
 	for i, m := range n.nodes {
-		if !silent[i] {
+		if !unreachable[i] {
 			f.Live[m.self.Name] = m.self
 		}
 	}
@@ -102,171 +102,171 @@
 	panic("no node " + name)
 }
 
-func (n *network) learn(i int) {
-	n.nodes[i].known = n.current
+func (n *network) observeMap(i int) {
+	n.nodes[i].shardMap = n.current
 	n.nodes[i].ledger.Observe(n.current)
 }
 
-func (n *network) begin(key string, node int) {
+func (n *network) startAttempt(key string, node int) {
 	m := n.nodes[node]
-	if len(m.known.Shards) == 0 {
+	if len(m.shardMap.Shards) == 0 {
 		return
 	}
 	a := &modelAttempt{id: fmt.Sprintf("a%02d", len(n.attempts)), key: key, node: node, gen: m.gen}
 	n.attempts = append(n.attempts, a)
-	m.own.Begin(a.id, n.now)
-	n.claim(a)
+	m.states.Begin(a.id, n.now)
+	n.sendClaims(a)
 }
 
-// claim sends a round of claims, unless the shard has lost its records since
-// the key may first have been used.
-func (n *network) claim(a *modelAttempt) {
+// sendClaims sends a round of claims. It releases the attempt instead if the
+// shard's records were lost and the key may have been used before.
+func (n *network) sendClaims(a *modelAttempt) {
 	m := n.nodes[a.node]
-	def := m.known.Shards[0]
-	if def.RecordsLostMS > 0 && n.tried[a.key] {
-		m.own.Release(a.id, n.now)
+	shard := m.shardMap.Shards[0]
+	if shard.RecordsLostMS > 0 && n.used[a.key] {
+		m.states.Release(a.id, n.now)
 		return
 	}
-	n.tried[a.key] = true
+	n.used[a.key] = true
 	a.round++
-	a.tally = &Tally{Asked: len(def.Keepers), Required: Majority}
-	a.heard = map[int]bool{}
-	for _, k := range def.Keepers {
+	a.tally = &Tally{Asked: len(shard.Keepers), Required: Majority}
+	a.replied = map[int]bool{}
+	for _, k := range shard.Keepers {
 		to := int(k.Name[1] - '0')
-		c := Claim{Epoch: def.Epoch, Key: a.key, Attempt: Attempt{ID: a.id, Node: m.self.Name, Incarnation: m.self.Incarnation}, Superseded: a.superseded}
-		n.bag = append(n.bag, message{to: to, gen: n.nodes[to].gen, claim: c, attempt: a, round: a.round})
+		c := Claim{Epoch: shard.Epoch, Key: a.key, Attempt: Attempt{ID: a.id, Node: m.self.Name, Incarnation: m.self.Incarnation}, Superseded: a.superseded}
+		n.messages = append(n.messages, message{to: to, gen: n.nodes[to].gen, claim: c, attempt: a, round: a.round})
 	}
 }
 
 func (n *network) deliver(i int, keep bool) {
-	msg := n.bag[i]
+	msg := n.messages[i]
 	if !keep {
-		n.bag = append(n.bag[:i], n.bag[i+1:]...)
+		n.messages = append(n.messages[:i], n.messages[i+1:]...)
 	}
 	if msg.reply == nil {
 		if n.nodes[msg.to].gen == msg.gen {
 			r := n.nodes[msg.to].ledger.Vote(msg.claim, n.now)
 			msg.reply = &r
-			n.bag = append(n.bag, msg)
+			n.messages = append(n.messages, msg)
 		}
 		return
 	}
 	a := msg.attempt
-	if a.round == msg.round && !a.heard[msg.to] && n.nodes[a.node].gen == a.gen && !a.sent && !a.notRun {
-		a.heard[msg.to] = true
+	if a.round == msg.round && !a.replied[msg.to] && n.nodes[a.node].gen == a.gen && !a.sent && !a.notRun {
+		a.replied[msg.to] = true
 		a.tally.Add(msg.reply)
-		n.act(a)
+		n.applyDecision(a)
 	}
 }
 
-// act does what a coordinator does with its tally.
-func (n *network) act(a *modelAttempt) {
-	own := n.nodes[a.node].own
+// applyDecision acts on the tally as a coordinator does.
+func (n *network) applyDecision(a *modelAttempt) {
+	states := n.nodes[a.node].states
 	switch a.tally.Decide() {
 	case Granted:
-		if own.Send(a.id, n.now) {
+		if states.Send(a.id, n.now) {
 			a.sent = true
 			n.sent[a.key]++
 		}
 	case Contested:
-		n.meet(a)
+		n.resolveConflict(a)
 	}
 }
 
-func (n *network) meet(a *modelAttempt) {
+func (n *network) resolveConflict(a *modelAttempt) {
 	for _, rival := range a.tally.Rivals(a.id) {
 		o := n.byName(rival.Node)
-		if o.self.Incarnation != rival.Incarnation || rapid.Bool().Draw(n.t, "rival silent") {
+		if o.self.Incarnation != rival.Incarnation || rapid.Bool().Draw(n.t, "rival unreachable") {
 			return
 		}
-		if o.own.Yield(rival.ID, a.id, n.now) != Released {
-			n.nodes[a.node].own.Release(a.id, n.now)
+		if o.states.Yield(rival.ID, a.id, n.now) != Released {
+			n.nodes[a.node].states.Release(a.id, n.now)
 			return
 		}
 		a.superseded = append(a.superseded, rival.ID)
 	}
-	n.claim(a)
+	n.sendClaims(a)
 }
 
-// giveUp tells the caller "not run" if the attempt can still be released.
-func (n *network) giveUp(a *modelAttempt) {
-	if n.nodes[a.node].gen == a.gen && n.nodes[a.node].own.Release(a.id, n.now) {
+// release answers the caller "not run" if the attempt can still be released.
+func (n *network) release(a *modelAttempt) {
+	if n.nodes[a.node].gen == a.gen && n.nodes[a.node].states.Release(a.id, n.now) {
 		a.notRun = true
 	}
 }
 
-// gather makes a keeper ready as a coordinator's Gather does; some sources
-// may be out of reach.
-func (n *network) gather(i int) {
+// syncRecords copies the records that a keeper lacks from other keepers, some of
+// which may be unreachable.
+func (n *network) syncRecords(i int) {
 	m := n.nodes[i]
-	if len(m.known.Shards) == 0 {
+	if len(m.shardMap.Shards) == 0 {
 		return
 	}
-	def := m.known.Shards[0]
+	shard := m.shardMap.Shards[0]
 	var sources [][]Record
-	read := func(k Node, least int64) bool {
+	read := func(k Node, minEpoch int64) bool {
 		o := n.byName(k.Name)
-		if o.self.Incarnation != k.Incarnation || rapid.Bool().Draw(n.t, "source silent") {
+		if o.self.Incarnation != k.Incarnation || rapid.Bool().Draw(n.t, "source unreachable") {
 			return false
 		}
-		ready, recs := o.ledger.Seal(0, def.Epoch)
-		if ready >= least {
+		ready, recs := o.ledger.Seal(0, shard.Epoch)
+		if ready >= minEpoch {
 			sources = append(sources, recs)
 		}
-		return ready >= least
+		return ready >= minEpoch
 	}
-	for _, k := range def.Keepers {
-		if k.Name != m.self.Name && read(k, def.Epoch) {
-			m.ledger.Adopt(0, def.Epoch, sources[len(sources)-1])
+	for _, k := range shard.Keepers {
+		if k.Name != m.self.Name && read(k, shard.Epoch) {
+			m.ledger.Adopt(0, shard.Epoch, sources[len(sources)-1])
 			return
 		}
 	}
 	sources = nil
-	for _, k := range def.Source {
-		read(k, def.SourceEpoch)
+	for _, k := range shard.Source {
+		read(k, shard.SourceEpoch)
 	}
-	if len(def.Source) > 0 && len(sources) >= ReadQuorum(len(def.Source)) {
-		m.ledger.Adopt(0, def.Epoch, sources...)
+	if len(shard.Source) > 0 && len(sources) >= ReadQuorum(len(shard.Source)) {
+		m.ledger.Adopt(0, shard.Epoch, sources...)
 	}
 }
 
-// actions are drawn from evenly; what must happen often stands often.
-var actions = []string{"begin", "begin", "drain", "drain", "drain", "deliver", "lose", "hand over", "hand over", "learn", "gather", "kill", "retry", "retry", "give up"}
+// actions is sampled uniformly; repeated entries are more frequent.
+var actions = []string{"start attempt", "start attempt", "deliver some", "deliver some", "deliver some", "deliver", "drop", "hand over", "hand over", "observe map", "sync records", "restart", "retry", "retry", "release"}
 
 func (n *network) step() {
 	t := n.t
 	node := rapid.IntRange(0, modelNodes-1).Draw(t, "node")
 	switch rapid.SampledFrom(actions).Draw(t, "action") {
-	case "begin":
+	case "start attempt":
 		if len(n.attempts) < modelAttempts {
-			n.begin("k", node)
+			n.startAttempt("k", node)
 		}
-	case "drain":
-		n.drain()
+	case "deliver some":
+		n.deliverSome()
 	case "deliver":
-		if len(n.bag) > 0 {
-			n.deliver(rapid.IntRange(0, len(n.bag)-1).Draw(t, "message"), true)
+		if len(n.messages) > 0 {
+			n.deliver(rapid.IntRange(0, len(n.messages)-1).Draw(t, "message"), true)
 		}
-	case "lose":
-		if len(n.bag) > 0 {
-			i := rapid.IntRange(0, len(n.bag)-1).Draw(t, "message")
-			n.bag = append(n.bag[:i], n.bag[i+1:]...)
+	case "drop":
+		if len(n.messages) > 0 {
+			i := rapid.IntRange(0, len(n.messages)-1).Draw(t, "message")
+			n.messages = append(n.messages[:i], n.messages[i+1:]...)
 		}
 	case "hand over":
 		n.handOver(node)
-	case "learn":
-		n.learn(node)
-	case "gather":
-		n.gather(node)
-	case "kill":
-		n.boot(node)
+	case "observe map":
+		n.observeMap(node)
+	case "sync records":
+		n.syncRecords(node)
+	case "restart":
+		n.restart(node)
 	case "retry":
-		if a := n.anyAttempt(); a != nil && n.nodes[a.node].gen == a.gen && !a.sent && !a.notRun && len(n.nodes[a.node].known.Shards) > 0 {
-			n.claim(a)
+		if a := n.anyAttempt(); a != nil && n.nodes[a.node].gen == a.gen && !a.sent && !a.notRun && len(n.nodes[a.node].shardMap.Shards) > 0 {
+			n.sendClaims(a)
 		}
-	case "give up":
+	case "release":
 		if a := n.anyAttempt(); a != nil {
-			n.giveUp(a)
+			n.release(a)
 		}
 	}
 }
@@ -278,31 +278,31 @@
 	return n.attempts[rapid.IntRange(0, len(n.attempts)-1).Draw(n.t, "attempt")]
 }
 
-// drain delivers some of the bag, each message or not by a draw.
-func (n *network) drain() {
+// deliverSome delivers a random subset of the pending messages.
+func (n *network) deliverSome() {
 	picks := rapid.Uint64().Draw(n.t, "picks")
-	for i := len(n.bag) - 1; i >= 0; i-- {
+	for i := len(n.messages) - 1; i >= 0; i-- {
 		if picks>>(uint(i)%64)&1 == 1 {
 			n.deliver(i, false)
 		}
 	}
 }
 
-// handOver lets the map follow the fleet, with one node perhaps silent, and
-// some of the nodes learn of it and get ready.
+// handOver updates the map, with one node possibly unreachable, after which
+// some nodes observe it and copy records.
 func (n *network) handOver(node int) {
-	silent := map[int]bool{node: rapid.Bool().Draw(n.t, "silent")}
-	who := rapid.Uint8().Draw(n.t, "who")
+	unreachable := map[int]bool{node: rapid.Bool().Draw(n.t, "unreachable")}
+	updated := rapid.Uint8().Draw(n.t, "updated")
 	for range 2 {
-		if next, changed := n.current.Next(n.fleet(silent)); changed {
+		if next, changed := n.current.Next(n.fleet(unreachable)); changed {
 			n.current = next
 		}
 		for i := range n.nodes {
-			if who>>i&1 == 1 {
-				n.learn(i)
+			if updated>>i&1 == 1 {
+				n.observeMap(i)
 			}
-			if who>>(i+4)&1 == 1 {
-				n.gather(i)
+			if updated>>(i+4)&1 == 1 {
+				n.syncRecords(i)
 			}
 		}
 	}
@@ -316,14 +316,13 @@
 	}
 	for _, a := range n.attempts {
 		if a.notRun && a.sent {
-			n.t.Fatalf("attempt %s was told not run and sent", a.id)
+			n.t.Fatalf("attempt %s was sent although the caller was told it did not run", a.id)
 		}
 	}
 }
 
-// No key is sent twice, and nothing told as not run is sent, whatever order
-// messages, losses, epochs, restarts and freezes come in. A frozen node is one
-// whose messages stay in the bag while the others go on.
+// No key is sent twice, and no attempt reported as not run is sent, under any
+// interleaving of deliveries, losses, epoch changes, restarts and pauses.
 func TestAtMostOnceUnderAnyInterleaving(t *testing.T) {
 	sends := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -335,11 +334,11 @@
 		sends += len(n.sent)
 	})
 	if sends == 0 {
-		t.Fatal("no run sent anything: the property was not tested")
+		t.Fatal("no attempt was sent in any run; the property was not exercised")
 	}
 }
 
-func fleetOf(n int) Fleet {
+func newFleet(n int) Fleet {
 	f := Fleet{Live: map[string]Node{}, Gone: func(Node) bool { return false }, Ready: func(Node, int) int64 { return 0 }}
 	for i := range n {
 		name := fmt.Sprintf("n%d", i)
@@ -348,9 +347,9 @@
 	return f
 }
 
-func TestKeepersStandInDifferentDomains(t *testing.T) {
+func TestKeepersAreInDifferentDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleetOf(rapid.IntRange(3, 20).Draw(t, "nodes"))
+		f := newFleet(rapid.IntRange(3, 20).Draw(t, "nodes"))
 		for _, s := range NewMap(64, f).Shards {
 			seen := map[string]bool{}
 			for _, k := range s.Keepers {
@@ -365,10 +364,10 @@
 
 func TestMapIsStableAndFollowsLosses(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(9)
+	f := newFleet(9)
 	m := NewMap(64, f)
 	_, changed := m.Next(f)
-	is.True(!changed) // same fleet, same map
+	is.True(!changed) // the map is stable for an unchanged fleet
 	delete(f.Live, "n4")
 	next, changed := m.Next(f)
 	is.True(changed)
@@ -376,15 +375,15 @@
 	for i := range next.Shards {
 		if next.Shards[i].Epoch != m.Shards[i].Epoch {
 			moved++
-			is.True(!next.Shards[i].Active) // no claims before the records are there
+			is.True(!next.Shards[i].Active) // inactive until the records are copied
 		}
 	}
 	is.True(moved < 40) // only the lost node's shards move
 }
 
-func TestSilentKeepersAreNotForgottenRecords(t *testing.T) {
+func TestUnreachableKeepersAreNotTreatedAsGone(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(6)
+	f := newFleet(6)
 	m := NewMap(1, f)
 	old := m.Shards[0].Keepers
 	delete(f.Live, old[0].Name)
@@ -393,16 +392,16 @@
 	for range 5 {
 		m, _ = m.Next(f)
 	}
-	is.True(!m.Shards[0].Active)                  // two silent keepers may still hold claims
-	is.Equal(m.Shards[0].RecordsLostMS, int64(0)) // so the shard waits
+	is.True(!m.Shards[0].Active)                  // two unreachable keepers may still hold claims
+	is.Equal(m.Shards[0].RecordsLostMS, int64(0)) // so their records are not given up
 	f.Gone = func(n Node) bool { return n.Name == old[0].Name || n.Name == old[1].Name }
 	f.NowMS = 77
 	m, _ = m.Next(f)
-	is.Equal(m.Shards[0].RecordsLostMS, int64(77)) // now they are gone for certain
+	is.Equal(m.Shards[0].RecordsLostMS, int64(77)) // both keepers are known to be gone
 }
 
-// keeperOf returns a ledger that keeps shard 0 as the map says.
-func keeperOf(n Node, m Map) *Ledger {
+// newKeeper returns the ledger of a node that has observed m.
+func newKeeper(n Node, m Map) *Ledger {
 	l := NewLedger(n, Limits{Window: time.Hour, MaxRecords: 10, AnswerBytes: 100})
 	l.Observe(m)
 	return l
@@ -410,12 +409,12 @@
 
 func TestNoClaimBeforeTheEpochIsActive(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(4)
+	f := newFleet(4)
 	m := NewMap(1, f)
 	lost := m.Shards[0].Keepers[2]
 	delete(f.Live, lost.Name)
 	next, _ := m.Next(f)
-	l := keeperOf(next.Shards[0].Keepers[0], next)
+	l := newKeeper(next.Shards[0].Keepers[0], next)
 	is.True(l.Adopt(0, next.Shards[0].Epoch, nil))
 	c := Claim{Epoch: next.Shards[0].Epoch, Key: "k", Attempt: Attempt{ID: "a"}}
 	is.Equal(l.Vote(c, time.Unix(1, 0)).Verdict, NotReady)
@@ -429,7 +428,7 @@
 
 func TestSecondHandOverKeepsTheLastActiveSource(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(6)
+	f := newFleet(6)
 	first := NewMap(1, f)
 	delete(f.Live, first.Shards[0].Keepers[0].Name)
 	second, _ := first.Next(f)
@@ -442,9 +441,9 @@
 
 func TestHandOverKeepsEveryAttemptItFinds(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(4)
+	f := newFleet(4)
 	m := NewMap(1, f)
-	l := keeperOf(m.Shards[0].Keepers[0], m)
+	l := newKeeper(m.Shards[0].Keepers[0], m)
 	rec := func(id string) []Record { return []Record{{Key: "k", Attempts: []Attempt{{ID: id}}}} }
 	is.True(l.Adopt(0, 1, rec("a"), rec("b")))
 	r := l.Vote(Claim{Epoch: 1, Key: "k", Attempt: Attempt{ID: "a"}}, time.Unix(1, 0))
@@ -456,9 +455,9 @@
 
 func TestLedgerIsBoundedInRecordsAndTime(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(3)
+	f := newFleet(3)
 	m := NewMap(1, f)
-	l := keeperOf(m.Shards[0].Keepers[0], m)
+	l := newKeeper(m.Shards[0].Keepers[0], m)
 	vote := func(i int, at int64) Verdict {
 		return l.Vote(Claim{Epoch: 1, Key: fmt.Sprint(i), Attempt: Attempt{ID: fmt.Sprint(i)}}, time.Unix(at, 0)).Verdict
 	}
@@ -470,14 +469,14 @@
 	is.Equal(vote(10, 4000), Stored)
 }
 
-func TestSealedKeeperTakesNoMoreClaimsOfTheEpoch(t *testing.T) {
+func TestSealedKeeperRefusesClaimsOfTheEpoch(t *testing.T) {
 	is := is.New(t)
-	f := fleetOf(4)
+	f := newFleet(4)
 	m := NewMap(1, f)
-	l := keeperOf(m.Shards[0].Keepers[0], m)
+	l := newKeeper(m.Shards[0].Keepers[0], m)
 	c := Claim{Epoch: 1, Key: "k", Attempt: Attempt{ID: "a"}}
 	is.Equal(l.Vote(c, time.Unix(1, 0)).Verdict, Stored)
-	ready, records := l.Seal(0, 2) // by a keeper that knows epoch 2; this one does not yet
+	ready, records := l.Seal(0, 2) // this keeper has not observed epoch 2 yet
 	is.Equal(ready, int64(1))
 	is.Equal(len(records), 1)
 	c.Key = "later"
--- a/src/claim/decide.go
+++ b/src/claim/decide.go
@@ -1,28 +1,28 @@
 package claim
 
-// Decision is what a coordinator does after asking the keepers.
+// Decision is the outcome of a round of claims.
 type Decision int
 
-// The decisions.
+// Decisions of a Tally.
 const (
-	Wait        Decision = iota // too few answers yet
-	Granted                     // send
+	Wait        Decision = iota // more replies are needed
+	Granted                     // the attempt may be sent
 	Contested                   // another attempt holds the key
-	Unavailable                 // no majority can be had now
+	Unavailable                 // a majority cannot be reached
 	Outdated                    // the coordinator's map is older than the keepers'
 )
 
-// Tally gathers the replies to one round of claims.
+// Tally counts the replies to one round of claims.
 type Tally struct {
 	Asked    int
-	Required int // keepers that must store the claim; Majority but for single-node use
+	Required int // keepers that must store the claim: Majority, except on a single node
 	Stored   int
-	Failed   int // no answer, not ready, or full
+	Failed   int // no reply, not ready, or full
 	Stale    int
 	Holders  []Record
 }
 
-// Add counts one reply; nil stands for no answer.
+// Add counts a reply; nil means that none was received.
 func (t *Tally) Add(r *Reply) {
 	switch {
 	case r == nil:
@@ -38,17 +38,17 @@
 	}
 }
 
-func (t *Tally) answered() int { return t.Stored + t.Failed + t.Stale + len(t.Holders) }
+func (t *Tally) replies() int { return t.Stored + t.Failed + t.Stale + len(t.Holders) }
 
-// Decide tells what the replies so far amount to.
+// Decide returns the decision that follows from the replies so far.
 func (t *Tally) Decide() Decision {
-	open := t.Asked - t.answered()
+	pending := t.Asked - t.replies()
 	switch {
 	case t.Stored >= t.Required:
 		return Granted
-	case t.Stored+open >= t.Required && open > 0:
+	case t.Stored+pending >= t.Required && pending > 0:
 		return Wait
-	case open > 0 && len(t.Holders) == 0:
+	case pending > 0 && len(t.Holders) == 0:
 		return Wait
 	case len(t.Holders) > 0:
 		return Contested
@@ -58,7 +58,7 @@
 	return Unavailable
 }
 
-// Rivals lists each other attempt that some keeper holds, once.
+// Rivals returns the distinct other attempts that keepers hold for the key.
 func (t *Tally) Rivals(own string) []Attempt {
 	seen := map[string]bool{own: true}
 	var out []Attempt
--- a/src/claim/ledger.go
+++ b/src/claim/ledger.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Attempt names one try at a request and the coordinator that makes it.
+// Attempt identifies one attempt at a request and its coordinator.
 type Attempt struct {
 	ID          string
 	Node        string
 	Incarnation string
 	Addr        string // peer listener of the coordinator
-	Engine      string // for a completion, where it runs
+	Engine      string // engine that runs the stream, for a completion
 	Stream      string
 }
 
-// Record is what a keeper holds of one key. More than one attempt is listed
-// only after a hand-over that found keepers with different attempts; then
-// none of them was granted, or exactly one was.
+// Record is a keeper's record of one key. It lists several attempts only if a
+// handover merged keepers with different attempts, of which at most one was
+// granted.
 type Record struct {
 	Key        string
 	Digest     []byte
@@ -29,16 +29,16 @@
 	CreatedMS  int64
 }
 
-// Verdict is a keeper's word on a claim.
+// Verdict is a keeper's response to a claim.
 type Verdict int
 
-// The verdicts.
+// Verdicts on a claim.
 const (
-	Stored     Verdict = iota // the attempt is the holder at this keeper
-	Held                      // another attempt is
-	StaleEpoch                // the claim's epoch is over
+	Stored     Verdict = iota // the attempt holds the key at this keeper
+	Held                      // another attempt holds the key
+	StaleEpoch                // the claim's epoch has ended
 	NotReady                  // the keeper does not serve the claim's epoch yet
-	Full                      // the keeper has no room
+	Full                      // the keeper has reached its record limit
 )
 
 // Claim asks a keeper to store an attempt as the holder of a key.
@@ -49,8 +49,8 @@
 	Digest     []byte
 	Attempt    Attempt
 	Repeatable bool
-	// Superseded are attempts known to be released unsent or, for repeatable
-	// requests, given up.
+	// Superseded lists attempts known to be released or, for repeatable
+	// requests, abandoned.
 	Superseded []string
 }
 
@@ -63,74 +63,74 @@
 
 // Limits bound a ledger.
 type Limits struct {
-	Window      time.Duration // a record is kept so long after it was made
+	Window      time.Duration // retention time of a record
 	MaxRecords  int
-	AnswerBytes int // a larger answer is not kept
+	AnswerBytes int // larger answers are not stored
 }
 
-// Ledger is the records one node keeps. It is safe for several goroutines.
+// Ledger stores the records that a node keeps. It is safe for concurrent use.
 type Ledger struct {
 	mu      sync.Mutex
 	self    Node
 	limits  Limits
-	shards  map[int]*kept
+	shards  map[int]*shardState
 	records int
 }
 
-type kept struct {
-	def     Shard
-	ready   int64 // epoch for which all records are held
-	sealed  int64 // claims of lower epochs are refused
-	records map[string]*Record
+type shardState struct {
+	assignment  Shard
+	readyEpoch  int64 // latest epoch for which all records are held
+	sealedEpoch int64 // claims for lower epochs are refused
+	records     map[string]*Record
 }
 
-// NewLedger returns an empty ledger of the node self.
+// NewLedger returns an empty ledger for the node self.
 func NewLedger(self Node, limits Limits) *Ledger {
-	return &Ledger{self: self, limits: limits, shards: map[int]*kept{}}
+	return &Ledger{self: self, limits: limits, shards: map[int]*shardState{}}
 }
 
-func (l *Ledger) shard(i int) *kept {
+func (l *Ledger) shard(i int) *shardState {
 	k := l.shards[i]
 	if k == nil {
-		k = &kept{records: map[string]*Record{}}
+		k = &shardState{records: map[string]*Record{}}
 		l.shards[i] = k
 	}
 	return k
 }
 
-// Observe takes in a newer shard map. It returns the shards for which this
-// node is a keeper that still lacks the records of the present epoch.
+// Observe applies a shard map. It returns the shards for which this node is a
+// keeper but lacks the records of the current epoch.
 func (l *Ledger) Observe(m Map) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var lacking []int
-	for i, def := range m.Shards {
-		mine := l.keeps(def)
-		if !mine && l.shards[i] == nil {
+	var missing []int
+	for i, assignment := range m.Shards {
+		keeper := l.isKeeper(assignment)
+		if !keeper && l.shards[i] == nil {
 			continue
 		}
 		k := l.shard(i)
-		if def.Epoch < k.def.Epoch {
+		if assignment.Epoch < k.assignment.Epoch {
 			continue
 		}
-		k.def = def
-		k.sealed = max(k.sealed, def.Epoch)
-		if !mine {
+		k.assignment = assignment
+		k.sealedEpoch = max(k.sealedEpoch, assignment.Epoch)
+		if !keeper {
 			continue
 		}
-		if len(def.Source) == 0 && !def.Active || def.Epoch == 1 && k.ready == 0 {
-			// Nothing to take over: the first epoch, or one begun without records.
-			k.ready = def.Epoch
+		if len(assignment.Source) == 0 && !assignment.Active || assignment.Epoch == 1 && k.readyEpoch == 0 {
+			// First epoch, or an epoch that starts without records.
+			k.readyEpoch = assignment.Epoch
 		}
-		if k.ready < def.Epoch {
-			lacking = append(lacking, i)
+		if k.readyEpoch < assignment.Epoch {
+			missing = append(missing, i)
 		}
 	}
-	return lacking
+	return missing
 }
 
-func (l *Ledger) keeps(def Shard) bool {
-	return slices.ContainsFunc(def.Keepers, func(n Node) bool {
+func (l *Ledger) isKeeper(assignment Shard) bool {
+	return slices.ContainsFunc(assignment.Keepers, func(n Node) bool {
 		return n.Name == l.self.Name && n.Incarnation == l.self.Incarnation
 	})
 }
@@ -141,10 +141,10 @@
 	defer l.mu.Unlock()
 	k := l.shard(c.Shard)
 	switch {
-	case c.Epoch < k.sealed:
-		return Reply{Verdict: StaleEpoch, Epoch: k.sealed}
-	case c.Epoch != k.def.Epoch || k.ready != c.Epoch || !k.def.Active || !l.keeps(k.def):
-		return Reply{Verdict: NotReady, Epoch: k.def.Epoch}
+	case c.Epoch < k.sealedEpoch:
+		return Reply{Verdict: StaleEpoch, Epoch: k.sealedEpoch}
+	case c.Epoch != k.assignment.Epoch || k.readyEpoch != c.Epoch || !k.assignment.Active || !l.isKeeper(k.assignment):
+		return Reply{Verdict: NotReady, Epoch: k.assignment.Epoch}
 	}
 	rec := k.records[c.Key]
 	if rec == nil {
@@ -180,7 +180,7 @@
 	return &c
 }
 
-// Settle stores the end of an attempt: released unsent, or with its answer.
+// Settle stores the end of an attempt, either released or with its answer.
 func (l *Ledger) Settle(shard int, key, attempt string, released bool, answer []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,7 +202,7 @@
 	}
 }
 
-// Place notes where the stream of an attempt runs.
+// SetStream stores the engine and the stream ID of an attempt.
 func (l *Ledger) SetStream(shard int, key, attempt, engine, stream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,7 +217,7 @@
 	}
 }
 
-// Lookup returns a copy of the record of a key, or nil.
+// Lookup returns a copy of the record of a key, or nil if there is none.
 func (l *Ledger) Lookup(shard int, key string) *Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,28 +228,28 @@
 	return rec.copy()
 }
 
-// Seal refuses all claims below epoch from now on, and returns the epoch for
-// which this node holds every record, with the records.
-func (l *Ledger) Seal(shard int, epoch int64) (ready int64, records []Record) {
+// Seal makes the ledger refuse claims for epochs below epoch. It returns the
+// shard's records and the epoch for which they are complete.
+func (l *Ledger) Seal(shard int, epoch int64) (readyEpoch int64, records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.shard(shard)
-	k.sealed = max(k.sealed, epoch)
+	k.sealedEpoch = max(k.sealedEpoch, epoch)
 	for _, r := range k.records {
 		records = append(records, *r.copy())
 	}
-	return k.ready, records
+	return k.readyEpoch, records
 }
 
-// Adopt merges the records of one or more sealed keepers and marks the shard
-// ready at epoch, unless the epoch has moved on. The caller has made sure
-// that the sources suffice: a majority of the source's keepers, or one keeper
-// ready at this very epoch.
+// Adopt merges the records of sealed keepers and marks the shard ready at
+// epoch. It returns false if the shard is now at another epoch. The sources
+// must be a read quorum of the source's keepers, or one keeper that is ready
+// at epoch.
 func (l *Ledger) Adopt(shard int, epoch int64, sources ...[]Record) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.shard(shard)
-	if k.def.Epoch != epoch {
+	if k.assignment.Epoch != epoch {
 		return false
 	}
 	for _, recs := range sources {
@@ -257,41 +257,41 @@
 			l.merge(k, r)
 		}
 	}
-	k.ready = max(k.ready, epoch)
+	k.readyEpoch = max(k.readyEpoch, epoch)
 	return true
 }
 
-func (l *Ledger) merge(k *kept, r Record) {
-	have := k.records[r.Key]
-	if have == nil {
+func (l *Ledger) merge(k *shardState, r Record) {
+	existing := k.records[r.Key]
+	if existing == nil {
 		l.records++
 		k.records[r.Key] = r.copy()
 		return
 	}
 	for _, a := range r.Attempts {
-		if !slices.ContainsFunc(have.Attempts, func(o Attempt) bool { return o.ID == a.ID }) {
-			have.Attempts = append(have.Attempts, a)
+		if !slices.ContainsFunc(existing.Attempts, func(o Attempt) bool { return o.ID == a.ID }) {
+			existing.Attempts = append(existing.Attempts, a)
 		}
 	}
-	if have.Answer == nil {
-		have.Answer = r.Answer
+	if existing.Answer == nil {
+		existing.Answer = r.Answer
 	}
 }
 
-// Ready lists the shards this node keeps and the epoch it is ready for.
+// Ready returns, for each shard this node keeps, the epoch it is ready for.
 func (l *Ledger) Ready() map[int]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[int]int64{}
 	for i, k := range l.shards {
-		if l.keeps(k.def) {
-			out[i] = k.ready
+		if l.isKeeper(k.assignment) {
+			out[i] = k.readyEpoch
 		}
 	}
 	return out
 }
 
-// Expire drops records older than the window and returns how many are left.
+// Expire removes records older than the window and returns the number left.
 func (l *Ledger) Expire(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/claim/main_test.go
+++ b/src/claim/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that every run has the same verdict, and makes
-// the runs many enough for the faults that the property is known to catch.
+// TestMain sets a fixed seed, so that results are reproducible, and enough runs
+// to find known faults.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
--- a/src/claim/shardmap.go
+++ b/src/claim/shardmap.go
@@ -1,13 +1,13 @@
-// Package claim sees to it that a request marked not repeatable is sent by at
-// most one attempt.
+// Package claim ensures that a request marked not repeatable is sent by at most
+// one attempt.
 //
-// The key space is cut into shards. The shard map, one value in the key-value
-// service changed only by compare-and-swap, gives each shard an epoch and
-// three keepers in different failure domains. An attempt may send its request
-// once two keepers of one epoch have stored it as the holder of its key. A
-// keeper stores one attempt a key and refuses epochs it knows to be over. Two
-// majorities of three share a keeper, so no two attempts are granted, and no
-// clock is involved. docs/design/at-most-once.md has the argument.
+// The key space is divided into shards. The shard map, a single value in the
+// key-value service that is updated by compare-and-swap, assigns each shard an
+// epoch and three keepers in different failure domains. An attempt may send its
+// request once two keepers of one epoch have stored it as the holder of its
+// key. A keeper stores one attempt per key and refuses claims for ended epochs.
+// Any two majorities of three share a keeper, so at most one attempt is granted,
+// without relying on clocks. See docs/design/at-most-once.md for the proof.
 package claim
 
 import (
@@ -20,19 +20,20 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// MapKey is where the shard map stands in the key-value service.
+// MapKey is the key of the shard map in the key-value service.
 const MapKey = view.Prefix + "shardmap"
 
-// KeepersPerShard and Majority are the numbers of keepers kept and needed.
+// KeepersPerShard is the number of keepers of a shard, and Majority the number
+// that must store a claim.
 const (
 	KeepersPerShard = 3
 	Majority        = 2
 )
 
-// ReadQuorum is how many of n keepers must be read to see every granted claim.
+// ReadQuorum returns how many of n keepers must be read to see every granted claim.
 func ReadQuorum(n int) int { return max(n-Majority+1, 1) }
 
-// Node is a process that can keep records.
+// Node is a process that can be a keeper.
 type Node struct {
 	Name          string `json:"n"`
 	Incarnation   string `json:"i"`
@@ -41,55 +42,55 @@
 	VM            string `json:"v,omitempty"`
 }
 
-// Shard is one part of the key space at one epoch.
+// Shard is the assignment of one shard of the key space.
 type Shard struct {
 	Epoch   int64  `json:"e"`
 	Keepers []Node `json:"k"`
-	// Active is set once a majority of Keepers holds all records of the
-	// source. No keeper stores a claim before.
+	// Active is set once a majority of Keepers holds all records of Source.
+	// Keepers refuse claims until then.
 	Active bool `json:"v,omitempty"`
-	// Source and SourceEpoch are the last active keepers, from whom the
-	// records come.
+	// Source and SourceEpoch are the last active keepers and their epoch,
+	// from which the records are copied.
 	Source      []Node `json:"s,omitempty"`
 	SourceEpoch int64  `json:"p,omitempty"`
-	// FloorMS is the Unix time, ms, at which the shard lost its records; 0 if never.
+	// RecordsLostMS is the Unix time, in ms, at which the records were lost, or 0.
 	RecordsLostMS int64 `json:"f,omitempty"`
 }
 
-// Map is the whole shard map. It is a value; no method changes it.
+// Map is the shard map. Its methods do not modify it.
 type Map struct {
 	Shards []Shard `json:"shards"`
 }
 
-// DecodeMap reads the stored form.
+// DecodeMap decodes a map from its stored form.
 func DecodeMap(raw []byte) (Map, error) {
 	var m Map
 	err := json.Unmarshal(raw, &m)
 	return m, err
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form of the map.
 func (m Map) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		panic("a shard map cannot be encoded: " + err.Error())
+		panic("claim: encode shard map: " + err.Error())
 	}
 	return raw
 }
 
-// ShardOf tells which of n shards a key belongs to.
+// ShardOf returns the index of the shard, out of n, that a key belongs to.
 func ShardOf(key string, n int) int {
 	return int(xxhash.Sum64String(key) % uint64(n))
 }
 
-// Fleet is what the planner of the map knows of nodes.
+// Fleet describes the nodes from which the shard map is computed.
 type Fleet struct {
-	Live map[string]Node // by name; nodes that may become or stay keepers
-	// Gone tells that this incarnation runs no more, for certain: another
-	// has taken its name, or the platform says its VM is terminated. A node
-	// that is only silent is not gone.
+	Live map[string]Node // nodes that may be keepers, by name
+	// Gone reports whether this incarnation has certainly ended: another one
+	// has its name, or the platform reports its VM as terminated. A node that
+	// merely doesn't respond is not gone.
 	Gone func(Node) bool
-	// Ready tells for which epoch a node holds all records of a shard; 0 for none.
+	// Ready returns the epoch for which a node holds all records of a shard, or 0.
 	Ready func(n Node, shard int) int64
 	NowMS int64
 }
@@ -99,16 +100,16 @@
 	return ok && l.Incarnation == n.Incarnation
 }
 
-// Start is the first map: no record can exist yet, so each shard is active.
+// NewMap returns the initial map. All shards are active, as no records exist yet.
 func NewMap(shards int, f Fleet) Map {
 	m := Map{Shards: make([]Shard, shards)}
 	for i := range m.Shards {
-		m.Shards[i] = Shard{Epoch: 1, Keepers: pick(i, nil, f), Active: true}
+		m.Shards[i] = Shard{Epoch: 1, Keepers: selectKeepers(i, nil, f), Active: true}
 	}
 	return m
 }
 
-// Next is the map that should follow m, and whether it differs from m.
+// Next returns the map that should follow m and whether it differs from m.
 func (m Map) Next(f Fleet) (Map, bool) {
 	out := Map{Shards: slices.Clone(m.Shards)}
 	changed := false
@@ -121,7 +122,7 @@
 }
 
 func (s Shard) next(shard int, f Fleet) (Shard, bool) {
-	want := pick(shard, s.Keepers, f)
+	want := selectKeepers(shard, s.Keepers, f)
 	switch {
 	case len(want) >= min(Majority, len(s.Keepers)) && !sameNodes(want, s.Keepers):
 		return s.handOver(want), true
@@ -131,7 +132,7 @@
 		s.Active = true
 		s.Source = nil
 		return s, true
-	case s.lostSource(f):
+	case s.sourceLost(f):
 		s.Source = nil
 		s.RecordsLostMS = f.NowMS
 		s.Epoch++
@@ -140,8 +141,8 @@
 	return s, false
 }
 
-// handOver begins the next epoch. Claims of an epoch that was never active
-// do not exist, so its own source stays the source.
+// handOver starts the next epoch. If the current epoch was never active, it has
+// no claims, and the source stays the same.
 func (s Shard) handOver(keepers []Node) Shard {
 	next := Shard{Epoch: s.Epoch + 1, Keepers: keepers, Source: s.Source, SourceEpoch: s.SourceEpoch, RecordsLostMS: s.RecordsLostMS}
 	if s.Active {
@@ -161,9 +162,9 @@
 	return n
 }
 
-// lostSource tells that too few of the source's keepers can still exist for
-// any majority of them to be read.
-func (s Shard) lostSource(f Fleet) bool {
+// sourceLost reports whether too many keepers of the source are gone for a read
+// quorum.
+func (s Shard) sourceLost(f Fleet) bool {
 	if len(s.Source) == 0 {
 		return false
 	}
@@ -176,33 +177,34 @@
 	return left < ReadQuorum(len(s.Source))
 }
 
-// pick chooses the keepers of a shard: those it has, while they live, then
-// others by rendezvous, each in another failure domain while there are enough.
-func pick(shard int, have []Node, f Fleet) []Node {
+// selectKeepers selects the keepers of a shard: its current keepers that are
+// live, then other nodes by rendezvous hashing, in distinct failure domains if
+// possible.
+func selectKeepers(shard int, current []Node, f Fleet) []Node {
 	var out []Node
 	used := map[string]bool{}
-	take := func(n Node, spread bool) {
+	add := func(n Node, spread bool) {
 		dup := slices.ContainsFunc(out, func(o Node) bool { return o.Name == n.Name })
 		if len(out) < KeepersPerShard && !dup && (!spread || !used[n.FailureDomain]) {
 			out = append(out, n)
 			used[n.FailureDomain] = true
 		}
 	}
-	for _, n := range have {
+	for _, n := range current {
 		if f.live(n) {
-			take(n, true)
+			add(n, true)
 		}
 	}
-	ranked := rank(shard, f.Live)
+	ranked := rankNodes(shard, f.Live)
 	for _, spread := range []bool{true, false} {
 		for _, n := range ranked {
-			take(n, spread)
+			add(n, spread)
 		}
 	}
 	return out
 }
 
-func rank(shard int, live map[string]Node) []Node {
+func rankNodes(shard int, live map[string]Node) []Node {
 	nodes := slices.Collect(maps.Values(live))
 	score := func(n Node) uint64 {
 		return xxhash.Sum64String(n.Name + "\x00" + string(rune(shard)))
