--- a/src/request/budget.go
+++ b/src/request/budget.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// Budget bounds retries to a fraction of live traffic, so that a failing
-// fleet is not asked for more than it was by its callers.
+// Budget limits retries to a fraction of the requests, so that retries do not
+// overload failing upstreams.
 type Budget struct {
-	mu       sync.Mutex
-	fraction float64
-	most     float64
-	have     float64
+	mu        sync.Mutex
+	fraction  float64
+	burst     float64
+	available float64
 }
 
-// NewBudget allows fraction retries for each request, saving up to most.
-func NewBudget(fraction, most float64) *Budget {
-	return &Budget{fraction: fraction, most: most, have: most}
+// NewBudget returns a budget of fraction retries per request, of which up to
+// burst accumulate. It starts with burst retries.
+func NewBudget(fraction, burst float64) *Budget {
+	return &Budget{fraction: fraction, burst: burst, available: burst}
 }
 
-// Earn counts one request.
+// Earn adds the retries allowed for one request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
-	b.have = min(b.have+b.fraction, b.most)
+	b.available = min(b.available+b.fraction, b.burst)
 	b.mu.Unlock()
 }
 
-// Spend takes one retry; false when there is none left.
+// Spend takes one retry. It returns false if none is available.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.have < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.have--
+	b.available--
 	return true
 }
 
-// Have tells how many retries are left.
+// Available returns the number of retries left.
 func (b *Budget) Available() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.have
+	return b.available
 }
 
 const (
@@ -50,7 +51,7 @@
 	jitterSpan = 0.4
 )
 
-// Jitter spreads a time by a fifth to either side.
+// Jitter randomizes a duration by up to 20% in either direction.
 func Jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (jitterLow + jitterSpan*rand.Float64()))
 }
--- a/src/request/flight.go
+++ b/src/request/flight.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Flight is one request in progress at its coordinator, or lately ended. The
-// goroutine that runs it appends; any number of readers follow.
+// Flight is a request that is in progress or has recently ended at its
+// coordinator. One goroutine runs it and appends tokens, and any number of
+// readers may follow it.
 type Flight struct {
 	Key        string
 	Digest     []byte
@@ -16,11 +17,11 @@
 	Priority   int
 	Customer   string
 	StartedAt  time.Time
-	// Certain says that no earlier try by this key can have run. It belongs
-	// to the goroutine that runs the flight.
+	// FirstUse means that no earlier attempt with this key can have run. Only
+	// the goroutine that runs the flight may access it.
 	FirstUse bool
-	// Claimed says that keepers may hold this flight's attempt. It belongs to
-	// the goroutine that runs the flight.
+	// Claimed means that keepers may hold this flight's attempt. Only the
+	// goroutine that runs the flight may access it.
 	Claimed bool
 
 	mu       sync.Mutex
@@ -35,7 +36,7 @@
 	stream   string
 }
 
-// NewFlight returns a flight; cancel ends its run.
+// NewFlight returns a flight that is cancelled by calling cancel.
 func NewFlight(key string, digest []byte, attempt string, repeatable bool, now time.Time, cancel context.CancelFunc) *Flight {
 	return &Flight{
 		Key: key, Digest: digest, Attempt: attempt, Repeatable: repeatable, StartedAt: now,
@@ -43,7 +44,8 @@
 	}
 }
 
-// Append adds one delivered token and returns how many there are.
+// Append adds a token and returns the number of tokens. After Finish it has no
+// effect.
 func (f *Flight) Append(token string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,14 +58,14 @@
 	return len(f.tokens)
 }
 
-// Given is the text delivered so far and its number of tokens.
+// Delivered returns the text received so far and its number of tokens.
 func (f *Flight) Delivered() (string, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return string(f.text), len(f.tokens)
 }
 
-// Size is the bytes of text delivered so far.
+// Size returns the length in bytes of the text received so far.
 func (f *Flight) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,7 +79,7 @@
 	return append([]string(nil), f.tokens...)
 }
 
-// Finish sets the answer; only the first call counts.
+// Finish sets the answer. It returns false if an answer was already set.
 func (f *Flight) Finish(a Answer) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,16 +96,16 @@
 	f.changed = make(chan struct{})
 }
 
-// Answer returns the end of the request, or nil while it runs.
+// Answer returns the final answer, or nil while the request is in progress.
 func (f *Flight) Answer() *Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.answer
 }
 
-// Since returns the tokens after the first n, the answer when it is known,
-// and a channel that closes at the next change. The tokens are shared; they
-// must not be changed.
+// Since returns the tokens after the first n, the answer if there is one, and a
+// channel that is closed at the next change. The caller must not modify the
+// tokens.
 func (f *Flight) Since(n int) (tokens []string, answer *Answer, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +113,7 @@
 	return f.tokens[n:len(f.tokens):len(f.tokens)], f.answer, f.changed
 }
 
-// Hold counts a reader in; the returned function counts it out.
+// AddReader registers a reader. The returned function removes it.
 func (f *Flight) AddReader(now func() time.Time) (release func()) {
 	f.mu.Lock()
 	f.readers++
@@ -124,31 +126,32 @@
 	}
 }
 
-// Touch notes that somebody asked for the flight at the time now.
+// Touch records that the flight was accessed at now.
 func (f *Flight) Touch(now time.Time) {
 	f.mu.Lock()
 	f.lastRead = now
 	f.mu.Unlock()
 }
 
-// Abandoned tells whether nobody has read for so long.
+// Abandoned reports whether the flight has no readers and was last read more
+// than grace ago.
 func (f *Flight) Abandoned(now time.Time, grace time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readers == 0 && now.Sub(f.lastRead) > grace
 }
 
-// Cancel ends the run.
+// Cancel cancels the request.
 func (f *Flight) Cancel() { f.cancel() }
 
-// At notes where the request runs now.
+// SetLocation sets the engine and stream that run the request.
 func (f *Flight) SetLocation(engine, stream string) {
 	f.mu.Lock()
 	f.engine, f.stream = engine, stream
 	f.mu.Unlock()
 }
 
-// Place tells where the request runs now.
+// Location returns the engine and stream that run the request.
 func (f *Flight) Location() (engine, stream string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/request/key.go
+++ b/src/request/key.go
@@ -18,19 +18,20 @@
 	timeBase     = 36
 )
 
-// ErrBadKey says that a request key is not acceptable.
+// ErrBadKey is returned for an invalid request key.
 var ErrBadKey = errors.New("request key must be 1 to 128 visible ASCII characters without '/'")
 
-// IssueKey makes a key that carries its time.
+// IssueKey returns a new random key that contains the time now.
 func IssueKey(now time.Time) string {
 	var raw [issuedRandom]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		panic("no randomness: " + err.Error())
+		panic("request: read random bytes: " + err.Error())
 	}
 	return issuedPrefix + strconv.FormatInt(now.UnixMilli(), timeBase) + "-" + hex.EncodeToString(raw[:])
 }
 
-// IssuedAt tells when a key was issued; ok is false for a caller's own key.
+// IssuedAt returns the time at which a key was issued. It returns false for a
+// key chosen by the caller.
 func IssuedAt(key string) (time.Time, bool) {
 	rest, ok := strings.CutPrefix(key, issuedPrefix)
 	if !ok {
@@ -44,7 +45,7 @@
 	return time.UnixMilli(ms), true
 }
 
-// CheckKey tells whether a caller's key is acceptable.
+// CheckKey validates a key chosen by a caller.
 func CheckKey(key string) error {
 	if key == "" || len(key) > maxKeyLen {
 		return oops.Wrap(ErrBadKey)
@@ -57,5 +58,6 @@
 	return nil
 }
 
-// FullKey scopes a key to its customer, so that no customer can name another's request.
+// FullKey qualifies a key with its customer, so that customers cannot refer to
+// each other's requests.
 func FullKey(customer, key string) string { return customer + "/" + key }
--- a/src/request/move.go
+++ b/src/request/move.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Move is what to do with a stream whose engine is leaving.
+// Move is the way in which a stream is handled when its engine is leaving.
 type Move string
 
-// The moves, from the one that recomputes least.
+// Moves, in increasing order of recomputation.
 const (
-	MoveFinish   Move = "finish"   // let it end where it is
-	MoveCache    Move = "cache"    // take its KV cache along
-	MoveContinue Move = "continue" // elsewhere, from prompt and tokens delivered
+	MoveFinish   Move = "finish"   // let the stream finish on its engine
+	MoveCache    Move = "cache"    // transfer the KV cache to another engine
+	MoveContinue Move = "continue" // recompute prompt and delivered tokens on another engine
 )
 
-// moveSafety is the part of the notice that is planned with; the rest covers
-// what the estimates miss.
-const moveSafety = 0.7
+// usableNotice is the part of the notice used for planning. The rest is a
+// margin for estimation errors.
+const usableNotice = 0.7
 
-// Leaving describes a stream at the time its engine's leaving is learnt.
+// LeavingStream describes a stream whose engine is leaving.
 type LeavingStream struct {
-	Notice          time.Duration // until the engine is gone; 0 when it is gone
-	RemainingTokens int           // most tokens still to come
-	TokenInterval   time.Duration // between two tokens
-	ContextTokens   int           // tokens of prompt and answer so far
-	CacheMoveRate   float64       // tokens of KV cache moved a second; 0 when the engine cannot
-	TokensAhead     int           // tokens of streams of higher priority that move first
+	Notice          time.Duration // time until the engine is gone, or 0
+	RemainingTokens int           // upper bound on the tokens still to come
+	TokenInterval   time.Duration // time between two tokens
+	ContextTokens   int           // tokens of the prompt and the answer so far
+	CacheMoveRate   float64       // KV cache tokens transferred per second, or 0 if unsupported
+	TokensAhead     int           // KV cache tokens of higher-priority streams, which move first
 }
 
-// ChooseMove picks the move that recomputes least and fits in the notice.
+// ChooseMove returns the move that recomputes least and fits in the notice.
 func ChooseMove(l LeavingStream) Move {
-	usable := time.Duration(float64(l.Notice) * moveSafety)
+	usable := time.Duration(float64(l.Notice) * usableNotice)
 	if usable <= 0 {
 		return MoveContinue
 	}
--- a/src/request/outcome.go
+++ b/src/request/outcome.go
@@ -1,5 +1,6 @@
-// Package request owns the life of one request: its key, its outcome, the
-// tokens delivered so far, and what to do when its upstream leaves.
+// Package request implements the state of a request: its key, its outcome, the
+// tokens delivered so far, retry budgets, and the choice of a move when its
+// upstream leaves.
 package request
 
 import (
@@ -8,11 +9,11 @@
 	"time"
 )
 
-// Outcome tells how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome string
 
-// The outcomes. NotRun is only said when no byte of the request reached an
-// upstream, or the upstream itself refused it before it started.
+// Outcomes of a request. NotRun is used only if no byte of the request reached
+// an upstream, or the upstream refused it before starting.
 const (
 	Completed  Outcome = "completed"
 	NotRun     Outcome = "not-run"
@@ -21,57 +22,57 @@
 	Cancelled  Outcome = "cancelled"
 )
 
-// Answer is the end of a request, as it is told to callers, kept by keepers
+// Answer is the result of a request, as returned to callers, stored by keepers
 // and passed between nodes.
 type Answer struct {
 	Outcome Outcome `json:"outcome"`
 	Status  int     `json:"status"`
-	Code    string  `json:"code,omitempty"`    // of an error
-	Message string  `json:"message,omitempty"` // of an error
+	Code    string  `json:"code,omitempty"`    // error code
+	Message string  `json:"message,omitempty"` // error message
 	RetryMS int64   `json:"retry_ms,omitempty"`
 
-	// Of a completion.
+	// Fields of a completion.
 	Model   string   `json:"model,omitempty"`
 	Created int64    `json:"created,omitempty"` // Unix s
 	Finish  string   `json:"finish,omitempty"`
 	Prompt  int      `json:"prompt_tokens,omitempty"`
 	Cached  int      `json:"cached_tokens,omitempty"`
-	Tokens  []string `json:"tokens,omitempty"` // kept when the coordinator may be lost
+	Tokens  []string `json:"tokens,omitempty"` // stored in case the coordinator is lost
 
-	// Of a service call.
+	// Fields of a service call.
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Encode gives the form kept by keepers.
+// Encode returns the form stored by keepers.
 func (a Answer) Encode() []byte {
 	raw, err := json.Marshal(a)
 	if err != nil {
-		panic("an answer cannot be encoded: " + err.Error())
+		panic("request: encode answer: " + err.Error())
 	}
 	return raw
 }
 
-// DecodeAnswer reads the form kept by keepers.
+// DecodeAnswer decodes the form stored by keepers.
 func DecodeAnswer(raw []byte) (Answer, error) {
 	var a Answer
 	err := json.Unmarshal(raw, &a)
 	return a, err
 }
 
-// Refuse is the answer to a request that was given up before it reached an
-// upstream; retry is when the caller may come back.
+// Refused returns the answer to a request that did not reach an upstream. retry
+// is the time after which the caller may retry.
 func Refused(status int, code, message string, retry time.Duration) Answer {
 	return Answer{Outcome: NotRun, Status: status, Code: code, Message: message, RetryMS: retry.Milliseconds()}
 }
 
-// Unsure is the answer to a request of which it is not known whether it ran.
-// retry above 0 invites the caller to ask again for its fate by the same key.
+// Indeterminate returns the answer to a request that may have run. If retry is
+// above 0, the caller may ask for its state after that time with the same key.
 func Indeterminate(code, message string, retry time.Duration) Answer {
 	return Answer{Outcome: MayHaveRun, Status: http.StatusBadGateway, Code: code, Message: message, RetryMS: retry.Milliseconds()}
 }
 
-// Failed is the answer to a request that ran and did not succeed.
+// Failed returns the answer to a request that ran and failed.
 func Failed(status int, code, message string) Answer {
 	return Answer{Outcome: Ran, Status: status, Code: code, Message: message}
 }
--- a/src/request/request_test.go
+++ b/src/request/request_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The move chosen always fits in the notice, and none that recomputes less would.
+// The chosen move always fits in the notice, and a stream that can finish is not moved.
 func TestChosenMoveFitsTheNotice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := LeavingStream{
@@ -21,11 +21,11 @@
 		move := ChooseMove(l)
 		switch {
 		case move == MoveFinish && finish > l.Notice:
-			t.Fatal("finishes after the engine is gone")
+			t.Fatal("the stream would finish after the engine is gone")
 		case move != MoveFinish && finish < l.Notice/2:
-			t.Fatal("moves a stream that could have ended")
+			t.Fatal("moved a stream that could have finished")
 		case move == MoveCache && float64(l.TokensAhead+l.ContextTokens)/l.CacheMoveRate > l.Notice.Seconds():
-			t.Fatal("moves a cache that does not fit")
+			t.Fatal("the cache transfer does not fit in the notice")
 		}
 	})
 }
@@ -43,7 +43,7 @@
 	for _, bad := range []string{"", "a b", "a/b", "a\n", string(make([]byte, 200))} {
 		is.True(CheckKey(bad) != nil)
 	}
-	is.True(FullKey("a", "b/c") != FullKey("a/b", "c") || CheckKey("b/c") != nil) // no key reaches into another customer
+	is.True(FullKey("a", "b/c") != FullKey("a/b", "c") || CheckKey("b/c") != nil) // no key can refer to another customer's request
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
@@ -68,7 +68,7 @@
 	f := NewFlight("c/k", nil, "a", true, time.Now(), func() {})
 	f.Append("x")
 	is.True(f.Finish(Answer{Status: 200}))
-	is.True(!f.Finish(Answer{Status: 500})) // a late answer of a superseded run
+	is.True(!f.Finish(Answer{Status: 500})) // later answers are ignored
 	f.Append("y")
 	tokens, answer, _ := f.Since(0)
 	is.Equal(tokens, []string{"x"})
