--- a/src/caller/call.go
+++ b/src/caller/call.go
@@ -12,37 +12,37 @@
 	"github.com/crankridge/crankridge/src/serve"
 )
 
-// serveCall passes a call to a plain service.
+// serveCall forwards a call to a plain service.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
 	name := mux.Vars(r)["service"]
 	svc, ok := s.coord.Catalog().Services[name]
 	if !ok {
-		refuse(w, http.StatusNotFound, "service_not_found", "there is no service "+name)
+		writeRejection(w, http.StatusNotFound, "service_not_found", "there is no service "+name)
 		return
 	}
 	body, ok := s.readBody(w, r)
 	if !ok {
 		return
 	}
-	a, ok := s.ask(w, r, cust, body, svc.Service.Repeatable)
+	req, ok := s.parseRequest(w, r, cust, body, svc.Service.Repeatable)
 	if !ok {
 		return
 	}
-	if limit := time.Duration(svc.Service.TimeoutMS) * time.Millisecond; limit > 0 {
-		a.Deadline = earlier(a.Deadline, s.coord.Now().Add(limit))
+	if timeout := time.Duration(svc.Service.TimeoutMS) * time.Millisecond; timeout > 0 {
+		req.Deadline = earlier(req.Deadline, s.coord.Now().Add(timeout))
 	}
 	path := strings.TrimPrefix(r.URL.RequestURI(), "/v1/services/"+name)
 	if !strings.HasPrefix(path, "/") {
 		path = "/" + path
 	}
-	a.Call = &serve.Call{Service: name, Method: r.Method, Path: path, Header: r.Header.Clone(), Body: body}
-	f, refusal := s.coord.Begin(a)
+	req.Call = &serve.Call{Service: name, Method: r.Method, Path: path, Header: r.Header.Clone(), Body: body}
+	f, refusal := s.coord.Begin(req)
 	if refusal != nil {
-		writeAnswerError(w, *refusal)
+		writeError(w, *refusal)
 		return
 	}
 	defer f.AddReader(s.coord.Now)()
-	if answer := wait(r, f); answer != nil {
+	if answer := waitForAnswer(r, f); answer != nil {
 		writeCall(w, *answer)
 	}
 }
@@ -56,7 +56,7 @@
 
 func writeCall(w http.ResponseWriter, a request.Answer) {
 	if a.Code != "" {
-		writeAnswerError(w, a)
+		writeError(w, a)
 		return
 	}
 	for name, values := range a.Header {
@@ -67,8 +67,8 @@
 	_, _ = w.Write(a.Body)
 }
 
-// fate is the answer to GET /v1/requests/{key}.
-type fate struct {
+// requestStatus is the response body of GET /v1/requests/{key}.
+type requestStatus struct {
 	Key     string `json:"key"`
 	State   string `json:"state"` // unknown, claimed, running, ended
 	Outcome string `json:"outcome,omitempty"`
@@ -77,13 +77,13 @@
 	Node    string `json:"node,omitempty"`
 }
 
-// serveFate tells where a request of this customer stands.
-func (s *Server) serveFate(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
+// serveRequestStatus returns the state of a request of this customer.
+func (s *Server) serveRequestStatus(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
 	key := mux.Vars(r)["key"]
 	full := request.FullKey(cust.Name, key)
 	if f := s.coord.FindFlight(full); f != nil {
 		_, n := f.Delivered()
-		out := fate{Key: key, State: "running", Tokens: n, Node: s.coord.Self.Name}
+		out := requestStatus{Key: key, State: "running", Tokens: n, Node: s.coord.Self.Name}
 		if a := f.Answer(); a != nil {
 			out.State, out.Outcome, out.Status = "ended", wireOutcome(*a), a.Status
 		}
@@ -91,7 +91,7 @@
 		return
 	}
 	rec := s.coord.LookupRecord(r.Context(), full)
-	out := fate{Key: key, State: "unknown"}
+	out := requestStatus{Key: key, State: "unknown"}
 	if rec != nil {
 		out.State = "claimed"
 		if len(rec.Attempts) > 0 {
@@ -104,11 +104,11 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// serveCancel ends a request of this customer that runs at this node.
+// serveCancel cancels a request of this customer that is in progress at this node.
 func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
 	f := s.coord.FindFlight(request.FullKey(cust.Name, mux.Vars(r)["key"]))
 	if f == nil {
-		refuse(w, http.StatusNotFound, "request_not_found", "no request by this key is in progress at this node; ask GET /v1/requests/{key} where it is")
+		writeRejection(w, http.StatusNotFound, "request_not_found", "no request by this key is in progress at this node; ask GET /v1/requests/{key} where it is")
 		return
 	}
 	f.Cancel()
--- a/src/caller/completion.go
+++ b/src/caller/completion.go
@@ -12,8 +12,8 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-// completion serves one of the two OpenAI calls.
-func (s *Server) completion(chat bool) customerHandler {
+// serveCompletion returns the handler for chat or text completions.
+func (s *Server) serveCompletion(chat bool) customerHandler {
 	return func(w http.ResponseWriter, r *http.Request, cust catalog.Resource) {
 		body, ok := s.readBody(w, r)
 		if !ok {
@@ -21,40 +21,40 @@
 		}
 		req, err := openai.Parse(body, chat)
 		if err != nil {
-			refuse(w, http.StatusBadRequest, "invalid_request", err.Error())
+			writeRejection(w, http.StatusBadRequest, "invalid_request", err.Error())
 			return
 		}
 		snap := s.coord.Catalog()
 		if _, isModel := snap.Models[req.Model]; !isModel {
 			if _, isAdapter := snap.Adapters[req.Model]; !isAdapter {
-				refuse(w, http.StatusNotFound, "model_not_found", "there is no model or adapter "+strconv.Quote(req.Model)+"; see /v1/models")
+				writeRejection(w, http.StatusNotFound, "model_not_found", "there is no model or adapter "+strconv.Quote(req.Model)+"; see /v1/models")
 				return
 			}
 		}
-		a, ok := s.ask(w, r, cust, body, true)
+		sreq, ok := s.parseRequest(w, r, cust, body, true)
 		if !ok {
 			return
 		}
-		a.Completion = &req
+		sreq.Completion = &req
 		after, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
-		f, refusal := s.coord.Begin(a)
+		f, refusal := s.coord.Begin(sreq)
 		if refusal != nil {
-			writeAnswerError(w, *refusal)
+			writeError(w, *refusal)
 			return
 		}
 		defer f.AddReader(s.coord.Now)()
 		if req.Stream {
-			s.stream(w, r, f, &req, after)
+			s.streamEvents(w, r, f, &req, after)
 			return
 		}
-		if answer := wait(r, f); answer != nil {
-			writeWhole(w, f, &req, *answer)
+		if answer := waitForAnswer(r, f); answer != nil {
+			writeCompletion(w, f, &req, *answer)
 		}
 	}
 }
 
-// wait returns the flight's answer, or nil when the caller left.
-func wait(r *http.Request, f *request.Flight) *request.Answer {
+// waitForAnswer returns the answer of the flight, or nil if the caller disconnects.
+func waitForAnswer(r *http.Request, f *request.Flight) *request.Answer {
 	for {
 		_, answer, changed := f.Since(0)
 		if answer != nil {
@@ -68,14 +68,14 @@
 	}
 }
 
-func writeWhole(w http.ResponseWriter, f *request.Flight, req *openai.Request, a request.Answer) {
+func writeCompletion(w http.ResponseWriter, f *request.Flight, req *openai.Request, a request.Answer) {
 	if a.Outcome != request.Completed {
-		writeAnswerError(w, a)
+		writeError(w, a)
 		return
 	}
 	tokens, _, _ := f.Since(0)
 	text := strings.Join(tokens, "")
-	out := head(f, req, a, openai.ObjectText)
+	out := newResponse(f, req, a, openai.ObjectText)
 	choice := openai.Choice{FinishReason: &a.Finish}
 	if req.Chat {
 		out.Object = openai.ObjectChat
@@ -89,7 +89,7 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-func head(f *request.Flight, req *openai.Request, a request.Answer, object string) openai.Answer {
+func newResponse(f *request.Flight, req *openai.Request, a request.Answer, object string) openai.Answer {
 	_, key, _ := strings.Cut(f.Key, "/")
 	created := a.Created
 	if created == 0 {
@@ -104,10 +104,10 @@
 	return u
 }
 
-// stream sends the tokens after the given one as server-sent events. The
-// status waits for the first token, so that a refusal has its own.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, f *request.Flight, req *openai.Request, after int) {
-	out := newEventWriter(w, s.set.Limits.WriteStall, f, req)
+// streamEvents sends the tokens after the given one as server-sent events. The
+// header is sent with the first token, so that a refusal can set the status.
+func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, f *request.Flight, req *openai.Request, after int) {
+	out := newEventWriter(w, s.config.Limits.WriteStall, f, req)
 	sent := after
 	for {
 		tokens, answer, changed := f.Since(sent)
@@ -119,8 +119,8 @@
 			}
 			continue
 		}
-		if !out.begun && answer != nil && answer.Outcome != request.Completed && len(tokens) == 0 {
-			writeAnswerError(w, *answer)
+		if !out.started && answer != nil && answer.Outcome != request.Completed && len(tokens) == 0 {
+			writeError(w, *answer)
 			return
 		}
 		for _, t := range tokens {
@@ -136,28 +136,28 @@
 	}
 }
 
-// eventWriter writes a stream's events. The parts that do not change from one
-// chunk to the next are built once.
+// eventWriter writes the events of a stream. It encodes the constant parts of a
+// chunk only once.
 type eventWriter struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	stall   time.Duration
-	f       *request.Flight
-	req     *openai.Request
-	buf     []byte
-	prefix  string
-	suffix  string
-	begun   bool
-	roleDue bool
+	w            http.ResponseWriter
+	rc           *http.ResponseController
+	writeTimeout time.Duration
+	flight       *request.Flight
+	req          *openai.Request
+	buf          []byte
+	prefix       string
+	suffix       string
+	started      bool
+	rolePending  bool
 }
 
-func newEventWriter(w http.ResponseWriter, stall time.Duration, f *request.Flight, req *openai.Request) *eventWriter {
-	e := &eventWriter{w: w, rc: http.NewResponseController(w), stall: stall, f: f, req: req, roleDue: req.Chat}
+func newEventWriter(w http.ResponseWriter, writeTimeout time.Duration, flight *request.Flight, req *openai.Request) *eventWriter {
+	e := &eventWriter{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout, flight: flight, req: req, rolePending: req.Chat}
 	object := openai.ObjectText
 	if req.Chat {
 		object = openai.ObjectChatChunk
 	}
-	h := head(f, req, request.Answer{}, object)
+	h := newResponse(flight, req, request.Answer{}, object)
 	h.Choices = nil
 	raw, _ := json.Marshal(h)
 	base := strings.TrimSuffix(string(raw), `"choices":null}`)
@@ -171,11 +171,11 @@
 	return e
 }
 
-func (e *eventWriter) begin() {
-	if e.begun {
+func (e *eventWriter) start() {
+	if e.started {
 		return
 	}
-	e.begun = true
+	e.started = true
 	h := e.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -183,14 +183,14 @@
 }
 
 func (e *eventWriter) token(id int, text string) {
-	e.begin()
+	e.start()
 	e.buf = append(e.buf, "id: "...)
 	e.buf = strconv.AppendInt(e.buf, int64(id), 10)
 	e.buf = append(e.buf, e.prefix...)
 	switch {
-	case e.req.Chat && e.roleDue:
+	case e.req.Chat && e.rolePending:
 		e.buf = append(e.buf, `"role":"assistant","content":`...)
-		e.roleDue = false
+		e.rolePending = false
 	case e.req.Chat:
 		e.buf = append(e.buf, `"content":`...)
 	default:
@@ -201,11 +201,12 @@
 	e.buf = append(e.buf, e.suffix...)
 }
 
-// end writes the finish, the usage when asked for, and the end mark; or the error.
+// end writes the finish reason, the usage if requested, and the end marker, or
+// an error event if the request did not complete.
 func (e *eventWriter) end(sent int, a request.Answer) {
-	e.begin()
+	e.start()
 	if a.Outcome != request.Completed {
-		e.event(0, bodyOf(a))
+		e.event(0, newErrorBody(a))
 		return
 	}
 	object := openai.ObjectText
@@ -215,7 +216,7 @@
 		object = openai.ObjectChatChunk
 		last = openai.Choice{FinishReason: &a.Finish, Delta: &openai.Delta{}}
 	}
-	out := head(e.f, e.req, a, object)
+	out := newResponse(e.flight, e.req, a, object)
 	out.Choices = []openai.Choice{last}
 	e.event(sent+1, out)
 	if e.req.IncludeUsage {
@@ -238,9 +239,9 @@
 	e.buf = append(e.buf, "\n\n"...)
 }
 
-// flush sends what is written; false when the reader is gone or too slow.
+// flush sends the buffered events. It returns false if the reader is gone or too slow.
 func (e *eventWriter) flush() bool {
-	_ = e.rc.SetWriteDeadline(time.Now().Add(e.stall))
+	_ = e.rc.SetWriteDeadline(time.Now().Add(e.writeTimeout))
 	_, err := e.w.Write(e.buf)
 	e.buf = e.buf[:0]
 	if err == nil {
--- a/src/caller/completion_test.go
+++ b/src/caller/completion_test.go
@@ -12,15 +12,15 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-func writer(chat bool) (*eventWriter, *httptest.ResponseRecorder) {
+func newTestWriter(chat bool) (*eventWriter, *httptest.ResponseRecorder) {
 	rec := httptest.NewRecorder()
 	f := request.NewFlight("c/k", nil, "a", true, time.Unix(100, 0), func() {})
 	return newEventWriter(rec, time.Second, f, &openai.Request{Chat: chat, Model: "m", IncludeUsage: true}), rec
 }
 
-func TestEventsHaveTheOpenAIShape(t *testing.T) {
+func TestEventsMatchOpenAIFormat(t *testing.T) {
 	is := is.New(t)
-	e, rec := writer(true)
+	e, rec := newTestWriter(true)
 	e.token(1, "a \"quoted\"\n")
 	e.token(2, " b")
 	e.end(2, request.Answer{Outcome: request.Completed, Finish: "length", Prompt: 3})
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestErrorWithinAStreamTellsTheOutcome(t *testing.T) {
+func TestStreamErrorIncludesOutcome(t *testing.T) {
 	is := is.New(t)
-	e, rec := writer(false)
+	e, rec := newTestWriter(false)
 	e.token(1, "x")
 	e.end(1, request.Indeterminate("upstream_lost", "lost", time.Second))
 	is.True(e.flush())
@@ -46,7 +46,7 @@
 
 func BenchmarkWriteToken(b *testing.B) {
 	b.ReportAllocs()
-	e, _ := writer(true)
+	e, _ := newTestWriter(true)
 	for i := range b.N {
 		e.token(i, " word")
 		e.buf = e.buf[:0]
--- a/src/caller/endpoints.go
+++ b/src/caller/endpoints.go
@@ -12,21 +12,21 @@
 	"github.com/crankridge/crankridge/src/member"
 )
 
-// Endpoint is one address a caller may use.
+// Endpoint is an address that callers may use.
 type Endpoint struct {
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region,omitempty"`
 }
 
-// Endpoints is the answer to GET /v1/endpoints, best address first.
+// Endpoints is the response body of GET /v1/endpoints, in order of preference.
 type Endpoints struct {
 	Endpoints []Endpoint `json:"endpoints"`
-	TTLS      int        `json:"ttl_s"` // how long the answer may be used
+	TTLS      int        `json:"ttl_s"` // lifetime of the response, in seconds
 	Revision  int64      `json:"revision"`
 }
 
-// serveEndpoints needs no key: it is how callers find the system.
+// serveEndpoints returns the endpoints for a caller. It requires no key.
 func (s *Server) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	caller := host
@@ -39,7 +39,7 @@
 			nodes = append(nodes, n)
 		}
 	}
-	out := Endpoints{Endpoints: []Endpoint{}, TTLS: int(s.set.Stop.TTL.Seconds())}
+	out := Endpoints{Endpoints: []Endpoint{}, TTLS: int(s.config.Stop.TTL.Seconds())}
 	for _, n := range Order(nodes, caller, s.fleet.Load) {
 		out.Endpoints = append(out.Endpoints, Endpoint{n.Callers, n.FailureDomain, n.Region})
 	}
@@ -47,9 +47,9 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// Order sorts nodes for a caller by weighted rendezvous: each caller has its
-// own order, which changes little as nodes come and go, and a node that
-// carries more than the others is first for fewer callers.
+// Order sorts nodes for a caller by weighted rendezvous hashing. The order
+// differs between callers and changes little when nodes join or leave. Nodes
+// with a higher load come first for fewer callers.
 func Order(nodes []member.Node, caller string, load func(string) int) []member.Node {
 	total := 0
 	for _, n := range nodes {
--- a/src/caller/errors.go
+++ b/src/caller/errors.go
@@ -11,20 +11,20 @@
 	"github.com/crankridge/crankridge/src/request"
 )
 
-// Headers between the system and its callers.
+// Request and response headers.
 const (
 	headerOutcome    = "Crankridge-Outcome"
 	headerKey        = "Idempotency-Key"
 	headerRepeatable = "Crankridge-Repeatable"
 	headerDeadline   = "Crankridge-Deadline-Ms"
-	headerAttempt    = "Crankridge-Attempt"      // 1 for the first try by a key
-	headerRetryCount = "X-Stainless-Retry-Count" // the same, from the OpenAI client libraries, counted from 0
+	headerAttempt    = "Crankridge-Attempt"      // number of the attempt, from 1
+	headerRetryCount = "X-Stainless-Retry-Count" // number of the retry, from 0, sent by the OpenAI client libraries
 	headerRetryMS    = "Retry-After-Ms"          // read by the OpenAI client libraries
 	headerLastEvent  = "Last-Event-ID"
 )
 
-// errorBody is the OpenAI error shape with the outcome added, for streams
-// whose headers are gone.
+// errorBody is an OpenAI error with the outcome, which cannot be sent in a header
+// once a stream has started.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -35,7 +35,7 @@
 	RetryMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-func bodyOf(a request.Answer) errorBody {
+func newErrorBody(a request.Answer) errorBody {
 	return errorBody{errorDetail{
 		Error:   openai.Error{Message: a.Message, Type: errorType(a.Status), Code: a.Code},
 		Outcome: wireOutcome(a), RetryMS: a.RetryMS,
@@ -54,8 +54,8 @@
 	return "server_error"
 }
 
-// wireOutcome is the outcome as the header tells it. A request that was
-// cancelled on its way may have run.
+// wireOutcome returns the outcome as reported to callers. A cancelled request
+// may have run.
 func wireOutcome(a request.Answer) string {
 	if a.Outcome == request.Cancelled {
 		return string(request.MayHaveRun)
@@ -63,9 +63,9 @@
 	return string(a.Outcome)
 }
 
-func writeAnswerError(w http.ResponseWriter, a request.Answer) {
+func writeError(w http.ResponseWriter, a request.Answer) {
 	setOutcome(w.Header(), a)
-	writeJSON(w, a.Status, bodyOf(a))
+	writeJSON(w, a.Status, newErrorBody(a))
 }
 
 func setOutcome(h http.Header, a request.Answer) {
@@ -77,9 +77,10 @@
 	}
 }
 
-// refuse answers a request that was not acted on and should not come again as it is.
-func refuse(w http.ResponseWriter, status int, code, message string) {
-	writeAnswerError(w, request.Answer{Outcome: request.NotRun, Status: status, Code: code, Message: message})
+// writeRejection writes an error response to a request that was not run and
+// should not be retried unchanged.
+func writeRejection(w http.ResponseWriter, status int, code, message string) {
+	writeError(w, request.Answer{Outcome: request.NotRun, Status: status, Code: code, Message: message})
 }
 
 func sortModels(list []openai.Model) {
--- a/src/caller/server.go
+++ b/src/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller is the HTTP surface towards callers: endpoints, the
-// OpenAI-compatible API, plain services, and the fate of requests.
+// Package caller implements the HTTP API for callers: endpoint discovery, the
+// OpenAI-compatible API, plain services and the state of requests.
 package caller
 
 import (
@@ -18,56 +18,55 @@
 	"github.com/crankridge/crankridge/src/settings"
 )
 
-// Phase is where the node stands in its life.
+// Phase is a phase in the lifecycle of a node.
 type Phase int32
 
-// The phases. A leaving node still serves what arrives; a refusing one does not.
+// Phases of a node. A leaving node still accepts requests; a refusing one does not.
 const (
 	Serving Phase = iota
 	Leaving
 	Refusing
 )
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
-	coord *serve.Coordinator
-	fleet *member.Fleet
-	set   settings.Entry
-	ready func() bool
-	// revision is that of the configuration in force.
-	revision func() int64
+	coord    *serve.Coordinator
+	fleet    *member.Fleet
+	config   settings.Entry
+	ready    func() bool
+	revision func() int64 // of the configuration in force
 	phase    atomic.Int32
 }
 
-// NewServer returns the surface of a node; ready tells whether it can serve,
-// revision which configuration is in force.
+// NewServer returns the server of a node. ready reports whether the node can
+// serve requests, and revision returns the revision of the configuration in force.
 func NewServer(c *serve.Coordinator, f *member.Fleet, s settings.Entry, ready func() bool, revision func() int64) *Server {
-	return &Server{coord: c, fleet: f, set: s, ready: ready, revision: revision}
+	return &Server{coord: c, fleet: f, config: s, ready: ready, revision: revision}
 }
 
-// SetPhase moves the node on in its life.
+// SetPhase sets the phase of the node.
 func (s *Server) SetPhase(p Phase) { s.phase.Store(int32(p)) }
 
-// Phase is where the node stands.
+// Phase returns the phase of the node.
 func (s *Server) Phase() Phase { return Phase(s.phase.Load()) }
 
-// Handler serves all paths.
+// Handler returns the handler of all paths.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.HandleFunc("/readyz", s.serveReady)
 	r.HandleFunc("/v1/endpoints", s.serveEndpoints).Methods(http.MethodGet)
 	r.HandleFunc("/v1/models", s.withCustomer(s.serveModels)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/chat/completions", s.withCustomer(s.completion(true))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/completions", s.withCustomer(s.completion(false))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/requests/{key}", s.withCustomer(s.serveFate)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/chat/completions", s.withCustomer(s.serveCompletion(true))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/completions", s.withCustomer(s.serveCompletion(false))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/requests/{key}", s.withCustomer(s.serveRequestStatus)).Methods(http.MethodGet)
 	r.HandleFunc("/v1/requests/{key}", s.withCustomer(s.serveCancel)).Methods(http.MethodDelete)
 	r.PathPrefix("/v1/services/{service}").HandlerFunc(s.withCustomer(s.serveCall))
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		refuse(w, http.StatusNotFound, "not_found", "no such path; see /v1/endpoints, /v1/models, /v1/chat/completions, /v1/services/{service}/")
+		writeRejection(w, http.StatusNotFound, "not_found", "no such path; see /v1/endpoints, /v1/models, /v1/chat/completions, /v1/services/{service}/")
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		refuse(w, http.StatusMethodNotAllowed, "method_not_allowed", "this path does not take this method")
+		writeRejection(w, http.StatusMethodNotAllowed, "method_not_allowed", "this path does not take this method")
 	})
 	return r
 }
@@ -80,7 +79,8 @@
 
 type customerHandler func(http.ResponseWriter, *http.Request, catalog.Resource)
 
-// withCustomer lets only known customers through, and nobody once the node refuses.
+// withCustomer authenticates the customer of a request. In phase Refusing it
+// rejects all requests.
 func (s *Server) withCustomer(next customerHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.Phase() == Refusing {
@@ -91,10 +91,10 @@
 		if !ok {
 			if !s.ready() {
 				a := request.Refused(http.StatusServiceUnavailable, "starting", "this node has no configuration yet", request.Jitter(time.Second))
-				writeAnswerError(w, a)
+				writeError(w, a)
 				return
 			}
-			refuse(w, http.StatusUnauthorized, "invalid_api_key", "no customer has this bearer key; send Authorization: Bearer <key>")
+			writeRejection(w, http.StatusUnauthorized, "invalid_api_key", "no customer has this bearer key; send Authorization: Bearer <key>")
 			return
 		}
 		next(w, r, cust)
@@ -108,7 +108,7 @@
 			w.Header().Add("Crankridge-Address", n.Callers)
 		}
 	}
-	writeAnswerError(w, a)
+	writeError(w, a)
 }
 
 func bearerKey(r *http.Request) string {
