--- a/src/catalog/resource.go
+++ b/src/catalog/resource.go
@@ -1,6 +1,6 @@
-// Package catalog holds the resources that operators write: events, models,
-// adapters, services and customers. It owns their shape and their rules; the
-// consistency boundary is one resource.
+// Package catalog defines the resources that operators configure (events,
+// models, adapters, services and customers), their encoding and their validation.
+// Consistency is per resource.
 package catalog
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Kind names a type of resource.
+// Kind is the kind of a resource.
 type Kind string
 
-// The kinds of resource.
+// Kinds of resources.
 const (
 	KindEvent    Kind = "event"
 	KindModel    Kind = "model"
@@ -26,16 +26,16 @@
 	KindCustomer Kind = "customer"
 )
 
-// Kinds lists all kinds in the order in which they are shown.
+// Kinds lists all kinds in display order.
 var Kinds = []Kind{KindEvent, KindModel, KindAdapter, KindService, KindCustomer}
 
-// ConfigPrefix is where resources stand in the key space.
+// ConfigPrefix is the key prefix of all resources.
 const ConfigPrefix = view.Prefix + "config/"
 
-// ErrInvalid is the base of every validation error.
+// ErrInvalid is wrapped by all validation errors.
 var ErrInvalid = errors.New("invalid resource")
 
-// Resource is one stored resource. Exactly the spec of its kind is set.
+// Resource is a stored resource. Only the spec of its kind is set.
 type Resource struct {
 	Kind     Kind      `json:"kind"`
 	Name     string    `json:"name"`
@@ -44,33 +44,33 @@
 	Adapter  *Adapter  `json:"adapter,omitempty"`
 	Service  *Service  `json:"service,omitempty"`
 	Customer *Customer `json:"customer,omitempty"`
-	// Changes are the ids of the last few writes, newest last, by which a
-	// writer who lost the answer knows its own write.
+	// Changes lists the IDs of the last few writes, newest last, so that a
+	// writer that received no response can tell whether its write succeeded.
 	Changes []string `json:"changes,omitempty"`
-	// Version is the revision of the write; it is not part of the stored value.
+	// Version is the revision of the last write. It is not part of the stored value.
 	Version int64 `json:"version,omitempty"`
 }
 
-// Event is a surge known beforehand.
+// Event is a planned surge in demand.
 type Event struct {
 	Start     time.Time       `json:"start"`
 	End       time.Time       `json:"end"`
 	Models    []EventModel    `json:"models"`
 	Services  []string        `json:"services,omitempty"`
 	Customers []EventCustomer `json:"customers"`
-	Priority  int             `json:"priority,omitempty"` // higher goes first, 0 to 9
-	// CostWeight is how much cost counts against latency, 0 (latency only) to 1 (cost only).
+	Priority  int             `json:"priority,omitempty"` // 0 to 9, highest first
+	// CostWeight weighs cost against latency, from 0 (latency only) to 1 (cost only).
 	CostWeight float64 `json:"cost_weight,omitempty"`
 }
 
-// EventModel is a model an event needs, with the servers its surge asks for.
+// EventModel is a model that an event needs, with its number of servers.
 type EventModel struct {
 	Name     string   `json:"name"`
 	Adapters []string `json:"adapters,omitempty"`
-	Servers  int      `json:"servers"` // that must be left when any one failure domain is lost
+	Servers  int      `json:"servers"` // number that must remain after the loss of any failure domain
 }
 
-// EventCustomer is a customer an event serves.
+// EventCustomer is a customer that an event serves.
 type EventCustomer struct {
 	Name         string `json:"name"`
 	FirstTokenMS int    `json:"first_token_ms"` // latency target, ms
@@ -79,13 +79,13 @@
 
 // Model is a language model that can be loaded.
 type Model struct {
-	Bytes   int64  `json:"bytes"` // of the weights
+	Bytes   int64  `json:"bytes"` // size of the weights
 	Version string `json:"version"`
-	Servers int    `json:"servers,omitempty"` // kept outside events
-	Class   string `json:"class,omitempty"`   // of VM; empty for any
+	Servers int    `json:"servers,omitempty"` // number kept outside of events
+	Class   string `json:"class,omitempty"`   // VM class; empty for any
 }
 
-// Adapter is a small addition to a model.
+// Adapter is an adapter for a model.
 type Adapter struct {
 	Model   string `json:"model"`
 	Bytes   int64  `json:"bytes"`
@@ -94,39 +94,39 @@
 
 // Service is a plain companion service.
 type Service struct {
-	// Repeatable tells whether a call may be run twice; a caller may say
-	// otherwise for one call only towards not repeatable.
+	// Repeatable means that a call may be run twice. A caller may mark a single
+	// call as not repeatable, but not the other way round.
 	Repeatable bool `json:"repeatable"`
-	// ChecksFencing tells operators that the service refuses calls with an
-	// older fencing token. The token is sent to all; nothing else depends on it.
+	// ChecksFencing records that the service refuses calls with an older fencing
+	// token. It is informational; the token is sent to all services.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	TimeoutMS     int  `json:"timeout_ms,omitempty"` // of one call, all tries together; 0 for the request's own
+	TimeoutMS     int  `json:"timeout_ms,omitempty"` // per call, with all attempts; 0 to use the request's deadline
 }
 
 // Customer is an organisation or person whose calls are served.
 type Customer struct {
-	KeySHA256  string  `json:"key_sha256"` // of the bearer key, hexadecimal
-	Weight     int     `json:"weight"`     // share when there is not enough for all
+	KeySHA256  string  `json:"key_sha256"` // hash of the bearer key, hexadecimal
+	Weight     int     `json:"weight"`     // relative share of scarce capacity
 	RequestsPS float64 `json:"requests_per_second,omitempty"`
 	Priority   int     `json:"priority,omitempty"`
 }
 
-// Key is the place of a resource in the key space.
+// Key returns the key under which a resource is stored.
 func Key(kind Kind, name string) string {
 	return ConfigPrefix + string(kind) + "/" + name
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form of the resource.
 func (r Resource) Encode() []byte {
 	r.Version = 0
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(fmt.Sprintf("resource %s/%s cannot be encoded: %v", r.Kind, r.Name, err))
+		panic(fmt.Sprintf("catalog: encode resource %s/%s: %v", r.Kind, r.Name, err))
 	}
 	return raw
 }
 
-// Decode reads the stored form.
+// Decode decodes a resource from its stored form.
 func Decode(it ports.Item) (Resource, error) {
 	var r Resource
 	if err := json.Unmarshal(it.Value, &r); err != nil {
@@ -136,7 +136,7 @@
 	return r, nil
 }
 
-// KnownKind parses a kind, in singular or plural.
+// ParseKind parses the name of a kind, in singular or plural.
 func ParseKind(s string) (Kind, bool) {
 	for _, k := range Kinds {
 		if s == string(k) || strings.TrimSuffix(s, "s") == string(k) {
--- a/src/catalog/snapshot.go
+++ b/src/catalog/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Snapshot is what is in force at one moment; it is not changed once built.
+// Snapshot is an immutable view of the resources in force.
 type Snapshot struct {
 	Events    map[string]Resource
 	Models    map[string]Resource
@@ -19,8 +19,8 @@
 	byKeyHash map[string]string
 }
 
-// NewSnapshot reads the resources among items. One that cannot be decoded is
-// left out and named in broken.
+// NewSnapshot builds a snapshot from stored items. Items that are invalid are
+// skipped, and their keys returned in broken.
 func NewSnapshot(items []ports.Item) (s *Snapshot, broken []string) {
 	s = &Snapshot{
 		Events: map[string]Resource{}, Models: map[string]Resource{}, Adapters: map[string]Resource{},
@@ -53,14 +53,14 @@
 	}
 }
 
-// HashKey is the stored form of a bearer key.
+// HashKey returns the hash under which a bearer key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// CustomerByKey finds the customer whose bearer key this is. The look-up is by
-// the key's hash, which tells nothing of the key by its timing.
+// CustomerByKey returns the customer with the given bearer key. The lookup is by
+// hash, so that its timing does not reveal the key.
 func (s *Snapshot) CustomerByKey(key string) (Resource, bool) {
 	hash := HashKey(key)
 	c, ok := s.Customers[s.byKeyHash[hash]]
@@ -71,18 +71,19 @@
 	return c, same
 }
 
-// Target is the latency and priority a customer has now: from the events in
-// force first, else from its own resource.
+// Target is the latency target and priority of a customer, from its resource and
+// the events in force.
 type Target struct {
-	FirstToken time.Duration // 0 when none is set
+	FirstToken time.Duration // 0 if none is set
 	Priority   int
 	Share      int
 }
 
-// EventPriority is the least priority of an event in force; all others are below.
+// EventPriority is the lowest priority of requests of an event in force. All
+// other requests have a lower priority.
 const EventPriority = maxPriority + 1
 
-// TargetOf returns the customer's target at the time now.
+// TargetOf returns the target of a customer at now.
 func (s *Snapshot) TargetOf(customer Resource, now time.Time) Target {
 	t := Target{Priority: customer.Customer.Priority, Share: customer.Customer.Weight}
 	for _, ev := range s.Events {
@@ -91,17 +92,17 @@
 		}
 		for _, c := range ev.Event.Customers {
 			if c.Name == customer.Name {
-				t = t.raise(ev.Event.Priority+EventPriority, c)
+				t = t.withEvent(ev.Event.Priority+EventPriority, c)
 			}
 		}
 	}
 	return t
 }
 
-func (t Target) raise(priority int, c EventCustomer) Target {
-	first := time.Duration(c.FirstTokenMS) * time.Millisecond
-	if t.FirstToken == 0 || first < t.FirstToken {
-		t.FirstToken = first
+func (t Target) withEvent(priority int, c EventCustomer) Target {
+	firstToken := time.Duration(c.FirstTokenMS) * time.Millisecond
+	if t.FirstToken == 0 || firstToken < t.FirstToken {
+		t.FirstToken = firstToken
 	}
 	t.Priority = max(t.Priority, priority)
 	t.Share = max(t.Share, c.Share)
--- a/src/peer/convert.go
+++ b/src/peer/convert.go
@@ -2,17 +2,17 @@
 
 import "github.com/crankridge/crankridge/src/claim"
 
-// FromAttempt gives the message form of an attempt.
+// AttemptToProto converts an attempt to its protobuf message.
 func AttemptToProto(a claim.Attempt) *Attempt {
 	return &Attempt{Id: a.ID, Node: a.Node, Incarnation: a.Incarnation, PeerAddr: a.Addr, Engine: a.Engine, Stream: a.Stream}
 }
 
-// ToAttempt reads the message form of an attempt.
+// AttemptFromProto converts an attempt from its protobuf message.
 func AttemptFromProto(a *Attempt) claim.Attempt {
 	return claim.Attempt{ID: a.GetId(), Node: a.GetNode(), Incarnation: a.GetIncarnation(), Addr: a.GetPeerAddr(), Engine: a.GetEngine(), Stream: a.GetStream()}
 }
 
-// FromRecord gives the message form of a record; nil stays nil.
+// RecordToProto converts a record to its protobuf message. It returns nil for nil.
 func RecordToProto(r *claim.Record) *Record {
 	if r == nil {
 		return nil
@@ -24,7 +24,7 @@
 	return out
 }
 
-// ToRecord reads the message form of a record; nil stays nil.
+// RecordFromProto converts a record from its protobuf message. It returns nil for nil.
 func RecordFromProto(r *Record) *claim.Record {
 	if r == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return out
 }
 
-// FromClaim gives the message form of a claim.
+// ClaimToProto converts a claim to its protobuf message.
 func ClaimToProto(c claim.Claim) *ClaimRequest {
 	return &ClaimRequest{
 		Shard: int32(c.Shard), Epoch: c.Epoch, Key: c.Key, Digest: c.Digest,
@@ -44,7 +44,7 @@
 	}
 }
 
-// ToClaim reads the message form of a claim.
+// ClaimFromProto converts a claim from its protobuf message.
 func ClaimFromProto(c *ClaimRequest) claim.Claim {
 	return claim.Claim{
 		Shard: int(c.Shard), Epoch: c.Epoch, Key: c.Key, Digest: c.Digest,
@@ -52,21 +52,21 @@
 	}
 }
 
-var verdicts = map[claim.Verdict]Verdict{
+var verdictToProto = map[claim.Verdict]Verdict{
 	claim.Stored: Verdict_VERDICT_STORED, claim.Held: Verdict_VERDICT_HELD, claim.StaleEpoch: Verdict_VERDICT_STALE_EPOCH,
 	claim.NotReady: Verdict_VERDICT_NOT_READY, claim.Full: Verdict_VERDICT_FULL,
 }
 
-// FromReply gives the message form of a keeper's reply.
+// ReplyToProto converts a keeper's reply to its protobuf message.
 func ReplyToProto(r claim.Reply) *ClaimResponse {
-	return &ClaimResponse{Verdict: verdicts[r.Verdict], Epoch: r.Epoch, Held: RecordToProto(r.Held)}
+	return &ClaimResponse{Verdict: verdictToProto[r.Verdict], Epoch: r.Epoch, Held: RecordToProto(r.Held)}
 }
 
-// ToReply reads the message form of a keeper's reply. A verdict that is not
-// known counts as not ready, which grants nothing.
+// ReplyFromProto converts a keeper's reply from its protobuf message. An unknown
+// verdict becomes NotReady, so that it grants nothing.
 func ReplyFromProto(r *ClaimResponse) claim.Reply {
 	out := claim.Reply{Verdict: claim.NotReady, Epoch: r.Epoch, Held: RecordFromProto(r.Held)}
-	for v, msg := range verdicts {
+	for v, msg := range verdictToProto {
 		if msg == r.Verdict {
 			out.Verdict = v
 		}
--- a/src/peer/pool.go
+++ b/src/peer/pool.go
@@ -1,5 +1,5 @@
-// Package peer is the protocol between nodes: generated twirp code, the pool
-// of clients, and the guard of the peers' listener.
+// Package peer implements the protocol between nodes: generated Twirp code, a
+// pool of clients, and authentication by a shared secret.
 package peer
 
 import (
@@ -13,15 +13,15 @@
 )
 
 const (
-	bearer       = "Bearer "
-	idlePerPeer  = 32
-	dialTimeout  = time.Second
-	callTimeout  = 30 * time.Second
-	idleTimeout  = time.Minute
-	headerSecret = "Authorization"
+	bearer         = "Bearer "
+	maxIdlePerPeer = 32
+	dialTimeout    = time.Second
+	callTimeout    = 30 * time.Second
+	idleTimeout    = time.Minute
+	headerSecret   = "Authorization"
 )
 
-// Pool gives clients of peers by address. Its own traffic is counted.
+// Pool holds a client per peer address. Traffic counts the bytes it transfers.
 type Pool struct {
 	Traffic telemetry.Traffic
 	client  *http.Client
@@ -29,18 +29,18 @@
 	peers   map[string]Peer
 }
 
-// NewPool returns a pool that shows the given secret to peers.
+// NewPool returns a pool whose clients send the given secret to peers.
 func NewPool(secret string) *Pool {
 	p := &Pool{peers: map[string]Peer{}}
 	tr := &http.Transport{
-		MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleTimeout,
+		MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleTimeout,
 		DialContext: p.Traffic.Dial(dialTimeout), DisableCompression: true,
 	}
-	p.client = &http.Client{Transport: withSecret{secret, &conn.StallDetectingTransport{Transport: tr}}, Timeout: callTimeout}
+	p.client = &http.Client{Transport: secretTransport{secret, &conn.StallDetectingTransport{Transport: tr}}, Timeout: callTimeout}
 	return p
 }
 
-// To returns the client of the peer at addr (host:port).
+// Client returns the client of the peer at addr (host:port).
 func (p *Pool) Client(addr string) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,20 +52,20 @@
 	return c
 }
 
-type withSecret struct {
+type secretTransport struct {
 	secret string
 	next   http.RoundTripper
 }
 
-// RoundTrip adds the secret and drops the client's name, which peers do not need.
-func (w withSecret) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip adds the secret and clears User-Agent, which peers do not use.
+func (w secretTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set(headerSecret, bearer+w.secret)
 	r.Header.Set("User-Agent", "")
 	return w.next.RoundTrip(r)
 }
 
-// Guard lets only requests with the secret through.
+// RequireSecret rejects requests that do not carry the secret.
 func RequireSecret(secret string, next http.Handler) http.Handler {
 	want := []byte(bearer + secret)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
