--- a/src/ports/kv.go
+++ b/src/ports/kv.go
@@ -16,17 +16,17 @@
 	"github.com/crankridge/crankridge/src/conn"
 )
 
-// Errors of the key-value port. A write that ends in ErrUnavailable may have
-// taken effect; the caller must read back before it writes again.
+// Errors of the key-value service. A write that fails with ErrUnavailable may
+// have taken effect; the caller must read the key before it writes again.
 var (
 	ErrUnavailable = errors.New("key-value service unavailable")
-	ErrCompacted   = errors.New("watch start is older than the service's history")
-	ErrLeaseGone   = errors.New("lease is gone")
+	ErrCompacted   = errors.New("watch revision has been compacted")
+	ErrLeaseGone   = errors.New("lease not found or expired")
 )
 
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
-// Item is one key at one revision; Deleted marks a removal seen by a watch.
+// Item is a key at a revision; Deleted marks a removal reported by a watch.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -34,8 +34,8 @@
 	Deleted  bool
 }
 
-// Swap is the outcome of a compare-and-swap. When it was lost, Current holds
-// the stored item (Revision 0 when there is none).
+// SwapResult is the result of a compare-and-swap. If it did not succeed, Current
+// holds the stored item (Revision 0 if there is none).
 type SwapResult struct {
 	Succeeded bool
 	Revision  int64
@@ -49,17 +49,17 @@
 	timeout time.Duration
 }
 
-// Dial opens a connection; nil stands for the standard dialer.
+// DialFunc opens a connection; nil selects the default dialer.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewKV returns a client of the service at base (a URL). Each call but a
-// watch ends within timeout.
+// NewKV returns a client of the service at the URL base. The timeout applies to
+// every call except watches.
 func NewKV(base string, timeout time.Duration, dial DialFunc) *KV {
-	tr := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: dial}
-	return &KV{base: base, client: &http.Client{Transport: &conn.StallDetectingTransport{Transport: tr}}, timeout: timeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: dial}
+	return &KV{base: base, client: &http.Client{Transport: &conn.StallDetectingTransport{Transport: transport}}, timeout: timeout}
 }
 
-// Get reads one key; ok is false when it is not stored. rev is the service's revision.
+// Get reads a key; ok is false if it is not stored. rev is the revision of the store.
 func (k *KV) Get(ctx context.Context, key string) (it Item, ok bool, rev int64, err error) {
 	var res WireRangeResult
 	if err := k.call(ctx, "/v3/kv/range", WireRange{Key: []byte(key)}, &res); err != nil {
@@ -68,10 +68,11 @@
 	if len(res.KVs) == 0 {
 		return Item{Key: key}, false, res.Header.Revision, nil
 	}
-	return itemOf(res.KVs[0]), true, res.Header.Revision, nil
+	return newItem(res.KVs[0]), true, res.Header.Revision, nil
 }
 
-// List reads all keys below prefix in one call, as of the returned revision.
+// List reads all keys with the given prefix in one call, as of the returned
+// revision.
 func (k *KV) List(ctx context.Context, prefix string) ([]Item, int64, error) {
 	var res WireRangeResult
 	req := WireRange{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)}
@@ -80,24 +81,24 @@
 	}
 	items := make([]Item, 0, len(res.KVs))
 	for _, kv := range res.KVs {
-		items = append(items, itemOf(kv))
+		items = append(items, newItem(kv))
 	}
 	return items, res.Header.Revision, nil
 }
 
-// PutIf stores value when the key is still at revision rev (0: not stored),
-// bound to lease unless that is 0.
+// PutIf stores value if the key is still at revision rev (0: not stored),
+// attached to lease unless it is 0.
 func (k *KV) PutIf(ctx context.Context, key string, value []byte, rev, lease int64) (SwapResult, error) {
 	op := WireOp{Put: &WirePut{Key: []byte(key), Value: value, Lease: lease}}
-	return k.swap(ctx, key, rev, op)
+	return k.compareAndSwap(ctx, key, rev, op)
 }
 
-// DeleteIf removes the key when it is still at revision rev.
+// DeleteIf deletes the key if it is still at revision rev.
 func (k *KV) DeleteIf(ctx context.Context, key string, rev int64) (SwapResult, error) {
-	return k.swap(ctx, key, rev, WireOp{Delete: &WireDelete{Key: []byte(key)}})
+	return k.compareAndSwap(ctx, key, rev, WireOp{Delete: &WireDelete{Key: []byte(key)}})
 }
 
-func (k *KV) swap(ctx context.Context, key string, rev int64, op WireOp) (SwapResult, error) {
+func (k *KV) compareAndSwap(ctx context.Context, key string, rev int64, op WireOp) (SwapResult, error) {
 	txn := WireTxn{
 		Compare: []WireCompare{{Key: []byte(key), Result: CompareEqual, Target: CompareMod, ModRevision: rev}},
 		Success: []WireOp{op},
@@ -110,20 +111,20 @@
 	out := SwapResult{Succeeded: res.Succeeded, Revision: res.Header.Revision, Current: Item{Key: key}}
 	if !res.Succeeded && len(res.Responses) > 0 && res.Responses[0].Range != nil {
 		if kvs := res.Responses[0].Range.KVs; len(kvs) > 0 {
-			out.Current = itemOf(kvs[0])
+			out.Current = newItem(kvs[0])
 		}
 	}
 	return out, nil
 }
 
-// Grant makes a lease that lapses ttl after its last renewal.
+// Grant creates a lease that expires ttl after its last renewal.
 func (k *KV) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	var res WireLease
 	err := k.call(ctx, "/v3/lease/grant", WireLease{TTL: int64(ttl / time.Second)}, &res)
 	return res.ID, err
 }
 
-// KeepAlive renews a lease; ErrLeaseGone says that it has lapsed.
+// KeepAlive renews a lease. It returns ErrLeaseGone if the lease has expired.
 func (k *KV) KeepAlive(ctx context.Context, id int64) error {
 	var res WireKeepAlive
 	if err := k.call(ctx, "/v3/lease/keepalive", WireLease{ID: id}, &res); err != nil {
@@ -135,46 +136,46 @@
 	return nil
 }
 
-// Revoke ends a lease and removes the keys bound to it.
+// Revoke ends a lease and deletes the keys attached to it.
 func (k *KV) Revoke(ctx context.Context, id int64) error {
 	return k.call(ctx, "/v3/lease/revoke", WireLease{ID: id}, &struct{}{})
 }
 
-// Batch is one message of a watch: changes, and the revision up to which the
-// watch has shown everything.
+// Batch is a message of a watch: changes, and the revision up to which all
+// changes have been reported.
 type Batch struct {
 	Items    []Item
 	Revision int64
 }
 
-// watchQuiet is how long a watch may bring no message before it is begun
-// anew: nothing else tells that its connection has fallen silent.
-const watchQuiet = 5 * time.Second
+// watchIdleTimeout is the time without a message after which a watch is
+// restarted, since a stalled connection is not detected otherwise.
+const watchIdleTimeout = 5 * time.Second
 
-// errQuiet counts as a call that ran out of time.
-var errQuiet = fmt.Errorf("watch brought nothing for %s: %w", watchQuiet, context.DeadlineExceeded)
+// errWatchIdle wraps context.DeadlineExceeded, so that it is handled as a timeout.
+var errWatchIdle = fmt.Errorf("no watch message received for %s: %w", watchIdleTimeout, context.DeadlineExceeded)
 
-// Watch calls each for every batch of changes below prefix from revision from
-// on, until ctx ends or the stream breaks. It returns ErrCompacted when the
-// history no longer reaches back to from.
-func (k *KV) Watch(ctx context.Context, prefix string, from int64, each func(Batch)) error {
+// Watch calls handle for each batch of changes to keys with the given prefix,
+// starting at revision from, until ctx ends or the stream fails. It returns
+// ErrCompacted if that revision has been compacted.
+func (k *KV) Watch(ctx context.Context, prefix string, from int64, handle func(Batch)) error {
 	for {
 		err := k.watch(ctx, prefix, from, func(b Batch) {
 			from = max(from, b.Revision+1)
-			each(b)
+			handle(b)
 		})
-		if !errors.Is(err, errQuiet) {
+		if !errors.Is(err, errWatchIdle) {
 			return err
 		}
 	}
 }
 
-// watch follows one stream until it ends or is quiet.
-func (k *KV) watch(ctx context.Context, prefix string, from int64, each func(Batch)) error {
+// watch reads one stream until it fails or exceeds watchIdleTimeout.
+func (k *KV) watch(ctx context.Context, prefix string, from int64, handle func(Batch)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	quiet := time.AfterFunc(watchQuiet, func() { cancel(errQuiet) })
-	defer quiet.Stop()
+	idle := time.AfterFunc(watchIdleTimeout, func() { cancel(errWatchIdle) })
+	defer idle.Stop()
 	var req WireWatchCreate
 	req.Create.Key = []byte(prefix)
 	req.Create.RangeEnd = prefixEnd(prefix)
@@ -191,21 +192,21 @@
 		if err := dec.Decode(&msg); err != nil {
 			return oops.Wrapf(errors.Join(ErrUnavailable, err, context.Cause(ctx)), "watch")
 		}
-		quiet.Reset(watchQuiet)
+		idle.Reset(watchIdleTimeout)
 		if msg.Result.Canceled {
 			return ErrCompacted
 		}
 		if msg.Result.Created && len(msg.Result.Events) == 0 {
-			continue // its revision is the service's, not one up to which all was shown
+			continue // its revision does not imply that all changes up to it were reported
 		}
-		each(batchOf(msg))
+		handle(newBatch(msg))
 	}
 }
 
-func batchOf(msg WireWatchResult) Batch {
+func newBatch(msg WireWatchResult) Batch {
 	b := Batch{Revision: msg.Result.Header.Revision}
 	for _, ev := range msg.Result.Events {
-		it := itemOf(ev.KV)
+		it := newItem(ev.KV)
 		it.Deleted = ev.Type == EventDelete
 		b.Items = append(b.Items, it)
 	}
@@ -220,12 +221,12 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return oops.Wrapf(errors.Join(ErrUnavailable, err), "read answer of %s", path)
+		return oops.Wrapf(errors.Join(ErrUnavailable, err), "read response of %s", path)
 	}
 	if err := json.Unmarshal(body, res); err != nil {
-		return oops.Wrapf(errors.Join(ErrUnavailable, err), "decode answer of %s", path)
+		return oops.Wrapf(errors.Join(ErrUnavailable, err), "decode response of %s", path)
 	}
 	return nil
 }
@@ -235,28 +236,28 @@
 	if err != nil {
 		return nil, oops.Wrapf(err, "encode %s", path)
 	}
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, k.base+path, bytes.NewReader(body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, k.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, oops.Wrapf(err, "request %s", path)
+		return nil, oops.Wrapf(err, "create request %s", path)
 	}
-	// A transport that replays a write by itself would hide a lost answer.
-	hr.GetBody = nil
-	resp, err := k.client.Do(hr)
+	// Keeps the transport from resending a write whose response was lost.
+	httpReq.GetBody = nil
+	resp, err := k.client.Do(httpReq)
 	if err != nil {
 		return nil, oops.Wrapf(errors.Join(ErrUnavailable, err), "call %s", path)
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, oops.Wrapf(ErrUnavailable, "%s answered %d", path, resp.StatusCode)
+		return nil, oops.Wrapf(ErrUnavailable, "%s: unexpected status %d", path, resp.StatusCode)
 	}
 	return resp, nil
 }
 
-func itemOf(kv WireKV) Item {
+func newItem(kv WireKV) Item {
 	return Item{Key: string(kv.Key), Value: kv.Value, Revision: kv.ModRevision}
 }
 
-// prefixEnd is the first key after all keys with the prefix.
+// prefixEnd returns the first key after all keys with the prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -268,5 +269,5 @@
 	return []byte{0}
 }
 
-// ErrSoldOut says that no machine of the wanted kind can be had at present.
-var ErrNoCapacity = errors.New("none to be had at present")
+// ErrNoCapacity is returned if the platform has no VM of the requested kind available.
+var ErrNoCapacity = errors.New("no capacity available")
--- a/src/ports/kv_test.go
+++ b/src/ports/kv_test.go
@@ -12,21 +12,21 @@
 	"github.com/matryer/is"
 )
 
-// Issue 19, the same class: a watch whose connection fell silent was never begun anew.
-func TestWatchThatFallsSilentIsBegunAnew(t *testing.T) {
+// Issue 19: a watch was not restarted after its connection stalled.
+func TestWatchRestartsWhenIdle(t *testing.T) {
 	is := is.New(t)
 	var watches atomic.Int64
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		revision := 4 + watches.Add(1)
 		_, _ = fmt.Fprintf(w, `{"result":{"header":{"revision":"%d"}}}`, revision)
 		_ = http.NewResponseController(w).Flush()
-		<-r.Context().Done() // nothing more comes on this connection
+		<-r.Context().Done() // sends nothing more on this connection
 	}))
-	defer service.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*watchQuiet)
+	defer server.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*watchIdleTimeout)
 	defer cancel()
 	var seen []int64
-	err := NewKV(service.URL, time.Second, nil).Watch(ctx, "a/", 5, func(b Batch) {
+	err := NewKV(server.URL, time.Second, nil).Watch(ctx, "a/", 5, func(b Batch) {
 		if seen = append(seen, b.Revision); len(seen) == 2 {
 			cancel()
 		}
--- a/src/ports/wire.go
+++ b/src/ports/wire.go
@@ -1,17 +1,17 @@
-// Package ports holds the ports to the services the platform gives: the
-// key-value service, the cloud API with its VM list, and the weight store.
+// Package ports contains clients of the services of the platform: the key-value
+// service and the cloud API.
 package ports
 
-// The key-value service is spoken to by the JSON form of the etcd v3 API
-// (its published gRPC gateway). Keys and values travel as base64, 64-bit
-// numbers as strings. Only the fields used here are declared.
+// The key-value service uses the JSON form of the etcd v3 API (its gRPC gateway),
+// with keys and values in base64 and 64-bit numbers as strings. Only the fields
+// used here are declared.
 
-// WireHeader is part of every answer.
+// WireHeader is part of every response.
 type WireHeader struct {
 	Revision int64 `json:"revision,string"`
 }
 
-// WireKV is one stored pair.
+// WireKV is a stored key-value pair.
 type WireKV struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -19,32 +19,32 @@
 	Lease       int64  `json:"lease,string,omitempty"`
 }
 
-// WireRange asks for one key, or for all in [Key, RangeEnd).
+// WireRange requests one key, or all keys in [Key, RangeEnd).
 type WireRange struct {
 	Key          []byte `json:"key"`
 	RangeEnd     []byte `json:"range_end,omitempty"`
 	Serializable bool   `json:"serializable,omitempty"`
 }
 
-// WireRangeResult answers a WireRange.
+// WireRangeResult is the response to a WireRange.
 type WireRangeResult struct {
 	Header WireHeader `json:"header"`
 	KVs    []WireKV   `json:"kvs"`
 }
 
-// WirePut stores a pair, bound to a lease unless Lease is 0.
+// WirePut stores a pair, attached to a lease unless Lease is 0.
 type WirePut struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value"`
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// WireDelete removes one key.
+// WireDelete deletes a key.
 type WireDelete struct {
 	Key []byte `json:"key"`
 }
 
-// WireCompare guards a transaction by a key's modification revision.
+// WireCompare is a condition on the modification revision of a key.
 type WireCompare struct {
 	Key         []byte `json:"key"`
 	Result      string `json:"result"`
@@ -52,26 +52,26 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// WireOp is one step of a transaction; exactly one field is set.
+// WireOp is an operation of a transaction; exactly one field is set.
 type WireOp struct {
 	Range  *WireRange  `json:"request_range,omitempty"`
 	Put    *WirePut    `json:"request_put,omitempty"`
 	Delete *WireDelete `json:"request_delete_range,omitempty"`
 }
 
-// WireOpResult answers a WireOp.
+// WireOpResult is the response to a WireOp.
 type WireOpResult struct {
 	Range *WireRangeResult `json:"response_range,omitempty"`
 }
 
-// WireTxn is a guarded transaction.
+// WireTxn is a conditional transaction.
 type WireTxn struct {
 	Compare []WireCompare `json:"compare"`
 	Success []WireOp      `json:"success"`
 	Failure []WireOp      `json:"failure"`
 }
 
-// WireTxnResult answers a WireTxn.
+// WireTxnResult is the response to a WireTxn.
 type WireTxnResult struct {
 	Header    WireHeader     `json:"header"`
 	Succeeded bool           `json:"succeeded"`
@@ -84,7 +84,8 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// WireKeepAlive is the streamed answer to a keep-alive; a TTL of 0 means the lease is gone.
+// WireKeepAlive is the streamed response to a keep-alive; a TTL of 0 means that
+// the lease has expired.
 type WireKeepAlive struct {
 	Result WireLease `json:"result"`
 }
@@ -99,13 +100,13 @@
 	} `json:"create_request"`
 }
 
-// WireEvent is one change seen by a watch.
+// WireEvent is a change reported by a watch.
 type WireEvent struct {
 	Type string `json:"type,omitempty"`
 	KV   WireKV `json:"kv"`
 }
 
-// WireWatchResult is one message of a watch.
+// WireWatchResult is a message of a watch.
 type WireWatchResult struct {
 	Result struct {
 		Header          WireHeader  `json:"header"`
@@ -117,9 +118,9 @@
 }
 
 const (
-	// CompareEqual and CompareMod are the only guard used.
+	// CompareEqual and CompareMod form the only condition used.
 	CompareEqual = "EQUAL"
 	CompareMod   = "MOD"
-	// EventDelete marks a removal; a stored value has no type.
+	// EventDelete marks a removal; puts have no type.
 	EventDelete = "DELETE"
 )
