--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	demandSample  = 8
-	leavingSample = 32
-	fanOut        = 3
-	flushNotices  = 20 * time.Millisecond
-	exchangeLimit = 2 * time.Second
+	demandSampleSize    = 8
+	maxLeavingUpstreams = 32
+	notifyFanOut        = 3
+	notifyBatchWindow   = 20 * time.Millisecond
+	exchangeTimeout     = 2 * time.Second
 )
 
-// exchangeLoop swaps digests with one peer at a time.
+// exchangeLoop periodically exchanges digests with a random peer.
 func (n *Node) exchangeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if addr := n.pickPeer(); addr != "" {
@@ -29,99 +29,100 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(request.Jitter(n.set.Exchange.Interval)):
+		case <-time.After(request.Jitter(n.settings.Exchange.Interval)):
 		}
 	}
 }
 
-// pickPeer takes a random live node, or a configured address while none is known.
+// pickPeer returns the address of a random live node, or of a configured peer if
+// no other node is known.
 func (n *Node) pickPeer() string {
-	var others []string
-	for _, o := range n.fleet.Nodes() {
-		if o.Name != n.self.Name {
-			others = append(others, o.Peers)
+	var addrs []string
+	for _, node := range n.fleet.Nodes() {
+		if node.Name != n.self.Name {
+			addrs = append(addrs, node.Peers)
 		}
 	}
-	if len(others) == 0 {
-		for _, a := range n.set.Peers {
-			if a != n.self.Peers {
-				others = append(others, a)
+	if len(addrs) == 0 {
+		for _, addr := range n.settings.Peers {
+			if addr != n.self.Peers {
+				addrs = append(addrs, addr)
 			}
 		}
 	}
-	if len(others) == 0 {
+	if len(addrs) == 0 {
 		return ""
 	}
-	return others[rand.IntN(len(others))]
+	return addrs[rand.IntN(len(addrs))]
 }
 
 func (n *Node) exchange(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeLimit)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	resp, err := n.pool.Client(addr).Exchange(ctx, &peer.ExchangeRequest{Digest: n.digest()})
-	n.called(addr, err)
+	n.recordCall(addr, err)
 	if err != nil {
 		return
 	}
-	n.take(resp.Digest)
+	n.mergeDigest(resp.Digest)
 	if resp.Complete > n.revision() {
-		n.view.ApplyPeer(view.Delta{Items: itemsOf(resp.Items), Complete: resp.Complete, Whole: resp.Whole})
+		n.view.ApplyPeer(view.Delta{Items: itemsFromProto(resp.Items), Complete: resp.Complete, Whole: resp.Whole})
 	}
 }
 
-// Exchange answers a peer: its digest is taken in, and it gets what it lacks.
-// When it has more, this node asks it back.
-func (n *Node) Exchange(_ context.Context, m *peer.ExchangeRequest) (*peer.ExchangeResponse, error) {
-	d := m.GetDigest()
-	n.take(d)
-	out := &peer.ExchangeResponse{Digest: n.digest(), Complete: n.revision()}
-	if d.GetComplete() < out.Complete {
-		delta := n.view.DeltaSince(d.GetComplete())
-		out.Complete, out.Whole = delta.Complete, delta.Whole
+// Exchange merges the digest of a peer and returns the changes that it has not
+// seen. If the peer has a later revision, this node requests an exchange in turn.
+func (n *Node) Exchange(_ context.Context, req *peer.ExchangeRequest) (*peer.ExchangeResponse, error) {
+	digest := req.GetDigest()
+	n.mergeDigest(digest)
+	resp := &peer.ExchangeResponse{Digest: n.digest(), Complete: n.revision()}
+	if digest.GetComplete() < resp.Complete {
+		delta := n.view.DeltaSince(digest.GetComplete())
+		resp.Complete, resp.Whole = delta.Complete, delta.Whole
 		for _, it := range delta.Items {
-			out.Items = append(out.Items, &peer.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
+			resp.Items = append(resp.Items, &peer.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
 		}
 	}
-	if d.GetComplete() > out.Complete {
-		if o, ok := n.fleet.Find(d.Node); ok {
-			go n.exchange(context.Background(), o.Peers)
+	if digest.GetComplete() > resp.Complete {
+		if sender, ok := n.fleet.Find(digest.Node); ok {
+			go n.exchange(context.Background(), sender.Peers)
 		}
 	}
-	return out, nil
+	return resp, nil
 }
 
-func itemsOf(items []*peer.Item) []ports.Item {
-	var out []ports.Item
+func itemsFromProto(items []*peer.Item) []ports.Item {
+	var converted []ports.Item
 	for _, it := range items {
-		out = append(out, ports.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
+		converted = append(converted, ports.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
 	}
-	return out
+	return converted
 }
 
-func namesOf(nodes []member.Node) []string {
-	out := make([]string, 0, len(nodes))
-	for _, o := range nodes {
-		out = append(out, o.Name)
+func nodeNames(nodes []member.Node) []string {
+	names := make([]string, 0, len(nodes))
+	for _, node := range nodes {
+		names = append(names, node.Name)
 	}
-	return out
+	return names
 }
 
 func (n *Node) digest() *peer.Digest {
 	now := time.Now()
-	n.limiter.SetLive(namesOf(n.fleet.Nodes()))
+	n.limiter.SetLive(nodeNames(n.fleet.Nodes()))
 	d := &peer.Digest{Node: n.self.Name, Incarnation: n.self.Incarnation, Complete: n.revision(), Inflight: int32(n.coord.OpenRequests())}
-	for _, dm := range append(n.limiter.LocalDemand(now), n.limiter.Sample(demandSample, now)...) {
+	for _, dm := range append(n.limiter.LocalDemand(now), n.limiter.Sample(demandSampleSize, now)...) {
 		d.Demands = append(d.Demands, &peer.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float32(dm.Rate), AtMs: dm.At.UnixMilli()})
 	}
 	for name, at := range n.registry.LeavingDeadlines() {
-		if len(d.Leaving) < leavingSample && time.Since(at) < time.Minute {
+		if len(d.Leaving) < maxLeavingUpstreams && time.Since(at) < time.Minute {
 			d.Leaving = append(d.Leaving, &peer.Leaving{Name: name, DeadlineMs: at.UnixMilli()})
 		}
 	}
 	return d
 }
 
-func (n *Node) take(d *peer.Digest) {
+func (n *Node) mergeDigest(d *peer.Digest) {
 	if d == nil {
 		return
 	}
@@ -129,41 +130,41 @@
 	for _, dm := range d.Demands {
 		n.limiter.MergeDemand(admit.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float64(dm.Rate), At: time.UnixMilli(dm.AtMs)})
 	}
-	n.takeLeaving(d.Leaving)
+	n.mergeLeaving(d.Leaving)
 }
 
-func (n *Node) takeLeaving(list []*peer.Leaving) {
+func (n *Node) mergeLeaving(list []*peer.Leaving) {
 	for _, l := range list {
 		n.registry.MarkLeaving(l.Name, time.UnixMilli(l.DeadlineMs))
 	}
 }
 
-// upstreamLeft queues first-hand or new second-hand news for passing on.
-func (n *Node) upstreamLeft(name string, deadline time.Time) {
-	n.spread(news{leaving: &peer.Leaving{Name: name, DeadlineMs: deadline.UnixMilli()}})
+// onUpstreamLeaving queues a notice that an upstream is leaving.
+func (n *Node) onUpstreamLeaving(name string, deadline time.Time) {
+	n.enqueueNotice(notice{leaving: &peer.Leaving{Name: name, DeadlineMs: deadline.UnixMilli()}})
 }
 
-// notifyLoop passes news on to a few peers at once; each of them does the same
-// with what is new to it.
+// notifyLoop sends batches of notices to random peers. Each peer forwards the
+// notices that are new to it.
 func (n *Node) notifyLoop(ctx context.Context) {
 	for {
 		batch := &peer.NotifyRequest{}
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-n.news:
-			item.into(batch)
+		case item := <-n.notices:
+			item.addTo(batch)
 		}
-		wait := time.After(flushNotices)
-		for open := true; open; {
+		window := time.After(notifyBatchWindow)
+		for collecting := true; collecting; {
 			select {
-			case item := <-n.news:
-				item.into(batch)
-			case <-wait:
-				open = false
+			case item := <-n.notices:
+				item.addTo(batch)
+			case <-window:
+				collecting = false
 			}
 		}
-		for range fanOut {
+		for range notifyFanOut {
 			if addr := n.pickPeer(); addr != "" {
 				go n.notify(ctx, addr, batch)
 			}
@@ -171,106 +172,101 @@
 	}
 }
 
-// called notes the result of a call to a peer; a first failure is passed on,
-// so that whoever writes the shard map hears of it.
-func (n *Node) called(addr string, err error) {
-	if silent := n.fleet.RecordCall(addr, err == nil); silent != "" && n.fleet.RecordPeerSuspicion(silent) {
-		n.spread(news{suspect: silent})
+// recordCall records the result of a call to a peer. The first failure is sent to
+// other peers, so that it reaches the node that writes the shard map.
+func (n *Node) recordCall(addr string, err error) {
+	if suspect := n.fleet.RecordCall(addr, err == nil); suspect != "" && n.fleet.RecordPeerSuspicion(suspect) {
+		n.enqueueNotice(notice{suspect: suspect})
 	}
 }
 
-// news is one thing to pass on: a leaving upstream or a suspected node.
-type news struct {
+// notice reports a leaving upstream or a suspected node.
+type notice struct {
 	leaving *peer.Leaving
 	suspect string
 }
 
-func (i news) into(m *peer.NotifyRequest) {
-	if i.leaving != nil {
-		m.Leaving = append(m.Leaving, i.leaving)
+func (n notice) addTo(batch *peer.NotifyRequest) {
+	if n.leaving != nil {
+		batch.Leaving = append(batch.Leaving, n.leaving)
 	}
-	if i.suspect != "" {
-		m.Suspects = append(m.Suspects, i.suspect)
+	if n.suspect != "" {
+		batch.Suspects = append(batch.Suspects, n.suspect)
 	}
 }
 
-func (n *Node) spread(item news) {
+func (n *Node) enqueueNotice(item notice) {
 	select {
-	case n.news <- item:
+	case n.notices <- item:
 	default:
 	}
 }
 
 func (n *Node) notify(ctx context.Context, addr string, batch *peer.NotifyRequest) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeLimit)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	_, err := n.pool.Client(addr).Notify(ctx, batch)
-	n.called(addr, err)
+	n.recordCall(addr, err)
 }
 
-// Notify takes in news of leaving upstreams and suspected nodes.
-func (n *Node) Notify(_ context.Context, m *peer.NotifyRequest) (*peer.Empty, error) {
-	n.takeLeaving(m.Leaving)
-	for _, name := range m.Suspects {
+// Notify handles notices of leaving upstreams and suspected nodes.
+func (n *Node) Notify(_ context.Context, req *peer.NotifyRequest) (*peer.Empty, error) {
+	n.mergeLeaving(req.Leaving)
+	for _, name := range req.Suspects {
 		if n.fleet.RecordPeerSuspicion(name) {
-			n.spread(news{suspect: name})
+			n.enqueueNotice(notice{suspect: name})
 		}
 	}
 	return &peer.Empty{}, nil
 }
 
-// Inventory tells what is in force here and which shards this node is ready for.
-func (n *Node) Inventory(_ context.Context, m *peer.InventoryRequest) (*peer.InventoryResponse, error) {
-	out := &peer.InventoryResponse{Node: n.self.Name, Complete: n.revision()}
-	if !m.Shards {
-		return out, nil
+// Inventory returns the applied revision and, on request, the epochs of the
+// shards that this node is ready for.
+func (n *Node) Inventory(_ context.Context, req *peer.InventoryRequest) (*peer.InventoryResponse, error) {
+	resp := &peer.InventoryResponse{Node: n.self.Name, Complete: n.revision()}
+	if !req.Shards {
+		return resp, nil
 	}
 	for shard, epoch := range n.ledger.Ready() {
-		out.Ready = append(out.Ready, &peer.ShardReady{Shard: int32(shard), Epoch: epoch})
+		resp.Ready = append(resp.Ready, &peer.ShardReady{Shard: int32(shard), Epoch: epoch})
 	}
-	return out, nil
+	return resp, nil
 }
 
-// The keeper's and coordinator's side of the protocol is the coordinator's.
+// The claim methods of peer.Peer are implemented by the coordinator.
 
-// Claim is served by the coordinator.
-func (n *Node) Claim(ctx context.Context, m *peer.ClaimRequest) (*peer.ClaimResponse, error) {
-	return n.coord.Claim(ctx, m)
+func (n *Node) Claim(ctx context.Context, req *peer.ClaimRequest) (*peer.ClaimResponse, error) {
+	return n.coord.Claim(ctx, req)
 }
 
-// Settle is served by the coordinator.
-func (n *Node) Settle(ctx context.Context, m *peer.SettleRequest) (*peer.Empty, error) {
-	return n.coord.Settle(ctx, m)
+func (n *Node) Settle(ctx context.Context, req *peer.SettleRequest) (*peer.Empty, error) {
+	return n.coord.Settle(ctx, req)
 }
 
-// Lookup is served by the coordinator.
-func (n *Node) Lookup(ctx context.Context, m *peer.LookupRequest) (*peer.LookupResponse, error) {
-	return n.coord.Lookup(ctx, m)
+func (n *Node) Lookup(ctx context.Context, req *peer.LookupRequest) (*peer.LookupResponse, error) {
+	return n.coord.Lookup(ctx, req)
 }
 
-// Seal is served by the coordinator.
-func (n *Node) Seal(ctx context.Context, m *peer.SealRequest) (*peer.SealResponse, error) {
-	return n.coord.Seal(ctx, m)
+func (n *Node) Seal(ctx context.Context, req *peer.SealRequest) (*peer.SealResponse, error) {
+	return n.coord.Seal(ctx, req)
 }
 
-// Inquire is served by the coordinator.
-func (n *Node) Inquire(ctx context.Context, m *peer.InquireRequest) (*peer.InquireResponse, error) {
-	return n.coord.Inquire(ctx, m)
+func (n *Node) Inquire(ctx context.Context, req *peer.InquireRequest) (*peer.InquireResponse, error) {
+	return n.coord.Inquire(ctx, req)
 }
 
-// Read is served by the coordinator.
-func (n *Node) Read(ctx context.Context, m *peer.ReadRequest) (*peer.ReadResponse, error) {
-	return n.coord.Read(ctx, m)
+func (n *Node) Read(ctx context.Context, req *peer.ReadRequest) (*peer.ReadResponse, error) {
+	return n.coord.Read(ctx, req)
 }
 
 var _ peer.Peer = (*Node)(nil)
 
-func suspects(f *member.Fleet) []string {
-	var out []string
-	for _, o := range f.Nodes() {
-		if f.RecentlyFailed(o.Name) {
-			out = append(out, o.Name)
+func suspectedNodes(f *member.Fleet) []string {
+	var names []string
+	for _, node := range f.Nodes() {
+		if f.RecentlyFailed(node.Name) {
+			names = append(names, node.Name)
 		}
 	}
-	return out
+	return names
 }
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -1,4 +1,4 @@
-// Package entry puts the parts of crank-entry together and runs them.
+// Package entry assembles and runs a crank-entry node.
 package entry
 
 import (
@@ -27,69 +27,69 @@
 )
 
 const (
-	engineDial    = time.Second
-	engineTimeout = 2 * time.Second
-	sweepEvery    = time.Second
-	noticeEvery   = time.Second
-	newsQueued    = 1024
+	engineDialTimeout   = time.Second
+	engineTimeout       = 2 * time.Second
+	sweepInterval       = time.Second
+	reclaimPollInterval = time.Second
+	noticeQueueSize     = 1024
 )
 
 // Node is one crank-entry process.
 type Node struct {
-	set       settings.Entry
-	self      member.Node
-	kv        *ports.KV
-	cloud     *ports.Cloud
-	kvTraffic telemetry.Traffic
-	peerIn    telemetry.Traffic
-	view      *view.View
-	fleet     *member.Fleet
-	registrar *member.Registrar
-	registry  *upstream.Registry
-	pool      *peer.Pool
-	ledger    *claim.Ledger
-	limiter   *admit.Limiter
-	metrics   *telemetry.Metrics
-	coord     *serve.Coordinator
-	callers   *caller.Server
-	news      chan news
-	probed    int // nodes probed so far, in turn
-	gather    chan int
-	started   time.Time
-	stopping  chan time.Time // a deadline set by a reclaim notice
+	settings          settings.Entry
+	self              member.Node
+	kv                *ports.KV
+	cloud             *ports.Cloud
+	kvTraffic         telemetry.Traffic
+	peerServerTraffic telemetry.Traffic
+	view              *view.View
+	fleet             *member.Fleet
+	registrar         *member.Registrar
+	registry          *upstream.Registry
+	pool              *peer.Pool
+	ledger            *claim.Ledger
+	limiter           *admit.Limiter
+	metrics           *telemetry.Metrics
+	coord             *serve.Coordinator
+	callers           *caller.Server
+	notices           chan notice
+	probeOffset       int // round-robin position of the next probe
+	shardsToSync      chan int
+	startedAt         time.Time
+	reclaimed         chan time.Time // receives the deadline of a reclaim notice
 }
 
-// New builds a node; nothing runs yet.
-func New(set settings.Entry) (*Node, error) {
+// New creates a node without starting it.
+func New(cfg settings.Entry) (*Node, error) {
 	metrics, err := telemetry.NewMetrics("crank-entry")
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		set: set, metrics: metrics, view: view.New(), started: time.Now(),
-		news: make(chan news, newsQueued), gather: make(chan int, 4096), stopping: make(chan time.Time, 1),
+		settings: cfg, metrics: metrics, view: view.New(), startedAt: time.Now(),
+		notices: make(chan notice, noticeQueueSize), shardsToSync: make(chan int, 4096), reclaimed: make(chan time.Time, 1),
 	}
 	n.self = member.Node{
-		Name: set.Node.Name, Incarnation: uuid.NewString()[:8], VM: set.Node.VM, FailureDomain: set.Node.FailureDomain, Region: set.Node.Region,
-		Callers: set.Advertise.Callers, Peers: set.Advertise.Peers, Operators: set.Advertise.Operators,
+		Name: cfg.Node.Name, Incarnation: uuid.NewString()[:8], VM: cfg.Node.VM, FailureDomain: cfg.Node.FailureDomain, Region: cfg.Node.Region,
+		Callers: cfg.Advertise.Callers, Peers: cfg.Advertise.Peers, Operators: cfg.Advertise.Operators,
 	}
-	n.kv = ports.NewKV(set.KV.URL, set.KV.Timeout, n.kvTraffic.Dial(set.KV.Timeout))
-	if set.Cloud.URL != "" {
-		n.cloud = ports.NewCloud(set.Cloud.URL, set.Cloud.Timeout)
+	n.kv = ports.NewKV(cfg.KV.URL, cfg.KV.Timeout, n.kvTraffic.Dial(cfg.KV.Timeout))
+	if cfg.Cloud.URL != "" {
+		n.cloud = ports.NewCloud(cfg.Cloud.URL, cfg.Cloud.Timeout)
 	}
-	n.fleet = member.NewFleet(set.Node.Name, time.Now)
-	n.registrar = member.NewRegistrar(n.kv, n.self, set.Exchange.Lease)
-	n.registry = upstream.NewRegistry(time.Now, n.upstreamLeft)
-	n.pool = peer.NewPool(set.Secrets.Peer)
-	n.limiter = admit.NewLimiter(set.Node.Name)
+	n.fleet = member.NewFleet(cfg.Node.Name, time.Now)
+	n.registrar = member.NewRegistrar(n.kv, n.self, cfg.Exchange.Lease)
+	n.registry = upstream.NewRegistry(time.Now, n.onUpstreamLeaving)
+	n.pool = peer.NewPool(cfg.Secrets.Peer)
+	n.limiter = admit.NewLimiter(cfg.Node.Name)
 	keeper := claim.Node{Name: n.self.Name, Incarnation: n.self.Incarnation, Addr: n.self.Peers, FailureDomain: n.self.FailureDomain, VM: n.self.VM}
-	n.ledger = claim.NewLedger(keeper, claim.Limits{Window: set.Claims.Window, MaxRecords: set.Claims.Records, AnswerBytes: set.Claims.KeptBytes})
+	n.ledger = claim.NewLedger(keeper, claim.Limits{Window: cfg.Claims.Window, MaxRecords: cfg.Claims.Records, AnswerBytes: cfg.Claims.KeptBytes})
 	n.coord = &serve.Coordinator{
-		Self: keeper, Settings: set, Fleet: n.fleet, Registry: n.registry, Pool: n.pool, Ledger: n.ledger, Attempts: claim.NewAttempts(),
-		Engines: engine.NewClient(engineDial, engineTimeout), Metrics: metrics, Limiter: n.limiter, Now: time.Now,
+		Self: keeper, Settings: cfg, Fleet: n.fleet, Registry: n.registry, Pool: n.pool, Ledger: n.ledger, Attempts: claim.NewAttempts(),
+		Engines: engine.NewClient(engineDialTimeout, engineTimeout), Metrics: metrics, Limiter: n.limiter, Now: time.Now,
 	}
 	n.coord.Start()
-	n.callers = caller.NewServer(n.coord, n.fleet, set, n.ready, n.revision)
+	n.callers = caller.NewServer(n.coord, n.fleet, cfg, n.ready, n.revision)
 	return n, nil
 }
 
@@ -98,38 +98,37 @@
 	return rev
 }
 
-// ready says that there is configuration and, unless no request is ever
-// marked not repeatable, that the shard map is known.
+// ready reports whether the configuration and the shard map are loaded.
 func (n *Node) ready() bool { return n.revision() > 0 && n.coord.Shards() != nil }
 
-// Run serves until ctx ends, then stops as planned: it cuts off no request
-// within the grace. A reclaim notice stops it too, within the notice.
+// Run serves until ctx ends or a reclaim notice arrives, then shuts down gracefully
+// within the address TTL and grace period, or by the deadline of the notice.
 func (n *Node) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	servers, err := n.listen()
 	if err != nil {
 		return err
 	}
 	klog.InfoS("started", "node", n.self.Name, "incarnation", n.self.Incarnation, "domain", n.self.FailureDomain, "callers", n.self.Callers)
-	registered, unregister := context.WithCancel(life)
-	removed := make(chan struct{})
-	go func() { n.registrar.Run(registered); close(removed) }()
+	registerCtx, unregister := context.WithCancel(runCtx)
+	unregistered := make(chan struct{})
+	go func() { n.registrar.Run(registerCtx); close(unregistered) }()
 	for _, loop := range []func(context.Context){
 		func(ctx context.Context) { n.view.Follow(ctx, n.kv, view.Prefix) },
-		n.applyLoop, n.exchangeLoop, n.notifyLoop, n.mapLoop, n.gatherLoop, n.coord.PollEngines, n.sweepLoop, n.noticeLoop,
+		n.applyLoop, n.exchangeLoop, n.notifyLoop, n.mapLoop, n.syncShardsLoop, n.coord.PollEngines, n.sweepLoop, n.reclaimLoop,
 	} {
-		go loop(life)
+		go loop(runCtx)
 	}
 	var deadline time.Time
 	select {
 	case <-ctx.Done():
-		deadline = time.Now().Add(n.set.Stop.TTL + n.set.Stop.Grace)
-	case deadline = <-n.stopping:
+		deadline = time.Now().Add(n.settings.Stop.TTL + n.settings.Stop.Grace)
+	case deadline = <-n.reclaimed:
 	}
 	n.stop(deadline)
 	unregister()
-	<-removed
+	<-unregistered
 	for _, s := range servers {
 		_ = s.Close()
 	}
@@ -137,37 +136,38 @@
 	return nil
 }
 
-// stop leaves in order: no longer listed, still serving what arrives for the
-// time promised, then refusing, until all requests have ended.
+// stop shuts down in stages: it marks the node as leaving, serves new requests
+// while clients may still hold its address, then refuses them, waits for open
+// requests and the handover of shards, and cancels what remains.
 func (n *Node) stop(deadline time.Time) {
 	klog.InfoS("leaving", "node", n.self.Name, "until", deadline.Format(time.RFC3339Nano), "open", n.coord.OpenRequests())
 	n.callers.SetPhase(caller.Leaving)
 	n.registrar.SetLeaving()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	promised := time.Now().Add(n.set.Stop.TTL)
-	// Under a short notice half of it is served; the rest is for handing over.
-	if half := time.Now().Add(time.Until(deadline) / 2); half.Before(promised) {
-		promised = half
+	refuseAt := time.Now().Add(n.settings.Stop.TTL)
+	// With a short deadline, reserves half of the time for the handover.
+	if half := time.Now().Add(time.Until(deadline) / 2); half.Before(refuseAt) {
+		refuseAt = half
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(promised)):
+	case <-time.After(time.Until(refuseAt)):
 	}
 	n.callers.SetPhase(caller.Refusing)
 	n.coord.WaitIdle(ctx)
-	n.waitHandedOver(ctx)
-	// What is still open goes on elsewhere: its callers are told so now.
+	n.waitForHandover(ctx)
+	// Tells the callers of the remaining requests to continue on another node.
 	n.coord.CancelAll()
-	last, done := context.WithTimeout(context.Background(), time.Second)
+	finalCtx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
-	n.coord.WaitIdle(last)
+	n.coord.WaitIdle(finalCtx)
 }
 
-// waitHandedOver waits until this node keeps no shard any more, or nobody is
-// left who could take one.
-func (n *Node) waitHandedOver(ctx context.Context) {
-	for ctx.Err() == nil && n.keepsAny() && n.heirs() {
+// waitForHandover waits until this node keeps no shards or no other node can take
+// them over.
+func (n *Node) waitForHandover(ctx context.Context) {
+	for ctx.Err() == nil && n.keepsAnyShard() && n.hasSuccessor() {
 		select {
 		case <-ctx.Done():
 		case <-n.view.Changed():
@@ -176,16 +176,16 @@
 	}
 }
 
-func (n *Node) heirs() bool {
-	for _, o := range n.fleet.Nodes() {
-		if o.Name != n.self.Name && !o.Leaving && n.fleet.FailingFor(o.Name) == 0 {
+func (n *Node) hasSuccessor() bool {
+	for _, node := range n.fleet.Nodes() {
+		if node.Name != n.self.Name && !node.Leaving && n.fleet.FailingFor(node.Name) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) keepsAny() bool {
+func (n *Node) keepsAnyShard() bool {
 	m := n.coord.Shards()
 	if m == nil {
 		return false
@@ -204,32 +204,32 @@
 
 func (n *Node) listen() ([]*http.Server, error) {
 	peerServer := peer.NewPeerServer(n)
-	surfaces := []struct {
+	endpoints := []struct {
 		addr    string
 		handler http.Handler
 		count   *telemetry.Traffic
 	}{
-		{n.set.Listen.Callers, n.callers.Handler(), nil},
-		{n.set.Listen.Peers, peer.RequireSecret(n.set.Secrets.Peer, peerServer), &n.peerIn},
-		{n.set.Listen.Operators, n.operatorHandler(), nil},
+		{n.settings.Listen.Callers, n.callers.Handler(), nil},
+		{n.settings.Listen.Peers, peer.RequireSecret(n.settings.Secrets.Peer, peerServer), &n.peerServerTraffic},
+		{n.settings.Listen.Operators, n.operatorHandler(), nil},
 	}
 	var servers []*http.Server
-	for _, s := range surfaces {
-		ln, err := net.Listen("tcp", s.addr)
+	for _, endpoint := range endpoints {
+		ln, err := net.Listen("tcp", endpoint.addr)
 		if err != nil {
 			return nil, err
 		}
-		if s.count != nil {
-			ln = s.count.Listen(ln)
+		if endpoint.count != nil {
+			ln = endpoint.count.Listen(ln)
 		}
-		srv := &http.Server{Handler: s.handler, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: n.set.Limits.HeaderBytes, IdleTimeout: 2 * time.Minute}
+		srv := &http.Server{Handler: endpoint.handler, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: n.settings.Limits.HeaderBytes, IdleTimeout: 2 * time.Minute}
 		servers = append(servers, srv)
 		go func() { _ = srv.Serve(ln) }()
 	}
 	return servers, nil
 }
 
-// applyLoop puts in force what the view learns.
+// applyLoop applies changes of the view.
 func (n *Node) applyLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := n.view.Changed()
@@ -243,8 +243,8 @@
 
 func (n *Node) apply() {
 	n.fleet.Update(n.view)
-	snap, broken := catalog.NewSnapshot(n.view.List(catalog.ConfigPrefix))
-	for _, key := range broken {
+	snap, invalid := catalog.NewSnapshot(n.view.List(catalog.ConfigPrefix))
+	for _, key := range invalid {
 		klog.ErrorS(nil, "broken_resource", "key", key)
 	}
 	n.coord.SetCatalog(snap)
@@ -268,23 +268,24 @@
 	}
 	for _, shard := range n.coord.SetShards(m) {
 		select {
-		case n.gather <- shard:
+		case n.shardsToSync <- shard:
 		default:
 		}
 	}
 }
 
-// gatherLoop gets the records of shards that this node newly keeps.
-func (n *Node) gatherLoop(ctx context.Context) {
+// syncShardsLoop fetches the records of shards newly assigned to this node and
+// retries on failure.
+func (n *Node) syncShardsLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case shard := <-n.gather:
+		case shard := <-n.shardsToSync:
 			if !n.coord.SyncShard(ctx, shard) {
 				time.AfterFunc(200*time.Millisecond, func() {
 					select {
-					case n.gather <- shard:
+					case n.shardsToSync <- shard:
 					default:
 					}
 				})
@@ -294,41 +295,41 @@
 }
 
 func (n *Node) sweepLoop(ctx context.Context) {
-	process.Every(ctx, sweepEvery, func() {
+	process.Every(ctx, sweepInterval, func() {
 		n.coord.Sweep()
-		n.registry.SetPeerLoadFactor(n.others())
+		n.registry.SetPeerLoadFactor(n.peerLoadFactor())
 	})
 }
 
-// others is what the other nodes have in progress, in multiples of this
-// node's. A node that follows part of the engines meets that part of them.
-func (n *Node) others() float64 {
-	load, nodes := 0, 0
-	for _, o := range n.fleet.Nodes() {
-		if o.Name != n.self.Name {
-			load += n.fleet.Load(o.Name)
-			nodes++
+// peerLoadFactor returns the open requests of the other nodes relative to those of
+// this node, scaled by the fraction of engines that this node uses.
+func (n *Node) peerLoadFactor() float64 {
+	load, others := 0, 0
+	for _, node := range n.fleet.Nodes() {
+		if node.Name != n.self.Name {
+			load += n.fleet.Load(node.Name)
+			others++
 		}
 	}
-	times := min(float64(load)/float64(max(n.coord.OpenRequests(), 1)), float64(nodes))
+	factor := min(float64(load)/float64(max(n.coord.OpenRequests(), 1)), float64(others))
 	engines := len(n.registry.Names(upstream.KindEngine))
-	if size := n.set.Routing.Subset; size > 0 && size < engines {
-		times *= float64(size) / float64(engines)
+	if size := n.settings.Routing.Subset; size > 0 && size < engines {
+		factor *= float64(size) / float64(engines)
 	}
-	return times
+	return factor
 }
 
-// noticeLoop asks the platform whether this VM is taken back.
-func (n *Node) noticeLoop(ctx context.Context) {
-	if n.cloud == nil || n.set.Node.VM == "" {
+// reclaimLoop polls the cloud for a reclaim notice of this VM.
+func (n *Node) reclaimLoop(ctx context.Context) {
+	if n.cloud == nil || n.settings.Node.VM == "" {
 		return
 	}
-	ctx, enough := context.WithCancel(ctx)
-	defer enough()
-	process.Every(ctx, noticeEvery, func() {
-		if deadline, ok, err := n.cloud.ReclaimNotice(ctx, n.set.Node.VM); err == nil && ok {
-			n.stopping <- deadline
-			enough()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	process.Every(ctx, reclaimPollInterval, func() {
+		if deadline, ok, err := n.cloud.ReclaimNotice(ctx, n.settings.Node.VM); err == nil && ok {
+			n.reclaimed <- deadline
+			cancel()
 		}
 	})
 }
--- a/src/entry/operator.go
+++ b/src/entry/operator.go
@@ -14,7 +14,7 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// State is the dump of a node: all that it knows, bounded.
+// State is the debug dump of a node.
 type State struct {
 	Node             member.Node         `json:"node"`
 	UptimeS          int64               `json:"uptime_s"`
@@ -33,26 +33,26 @@
 	Records          int                 `json:"records"`
 	MapShards        int                 `json:"map_shards"`
 	PassiveShards    int                 `json:"map_passive"`
-	Traffic          map[string][2]int64 `json:"control_bytes"` // by channel: in, out
+	Traffic          map[string][2]int64 `json:"control_bytes"` // bytes in and out, by channel
 }
 
-// ShardState is a shard this node keeps.
+// ShardState describes a shard that this node keeps.
 type ShardState struct {
 	Epoch int64 `json:"epoch"`
 	Ready int64 `json:"ready"`
 }
 
 func (n *Node) state() State {
-	rev, src := n.view.Complete()
+	rev, source := n.view.Complete()
 	s := State{
-		Node: n.self, UptimeS: int64(time.Since(n.started).Seconds()), Phase: int(n.callers.Phase()), CompleteRevision: rev, RevisionSource: string(src),
-		Versions: map[string]int64{}, Nodes: n.fleet.Nodes(), Suspects: suspects(n.fleet), Upstreams: n.registry.Dumps(),
+		Node: n.self, UptimeS: int64(time.Since(n.startedAt).Seconds()), Phase: int(n.callers.Phase()), CompleteRevision: rev, RevisionSource: string(source),
+		Versions: map[string]int64{}, Nodes: n.fleet.Nodes(), Suspects: suspectedNodes(n.fleet), Upstreams: n.registry.Dumps(),
 		OpenRequests: n.coord.OpenRequests(), Retries: n.coord.RetriesLeft(), Requests: n.coord.Flights(), Queues: n.coord.Queues(),
 		Shards: map[int]ShardState{}, Records: n.ledger.Expire(time.Now()),
 		Traffic: map[string][2]int64{
 			"kv":        {n.kvTraffic.In.Load(), n.kvTraffic.Out.Load()},
 			"peers_out": {n.pool.Traffic.In.Load(), n.pool.Traffic.Out.Load()},
-			"peers_in":  {n.peerIn.In.Load(), n.peerIn.Out.Load()},
+			"peers_in":  {n.peerServerTraffic.In.Load(), n.peerServerTraffic.Out.Load()},
 			"engines":   {n.coord.Engines.Control.In.Load(), n.coord.Engines.Control.Out.Load()},
 		},
 	}
@@ -85,7 +85,7 @@
 	r.HandleFunc("/debug/explain", func(w http.ResponseWriter, q *http.Request) {
 		writeJSON(w, n.coord.Explain(q.URL.Query().Get("subject")))
 	})
-	return operator.RequireToken(n.set.Secrets.Operator, r)
+	return operator.RequireToken(n.settings.Secrets.Operator, r)
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/src/entry/shardmap.go
+++ b/src/entry/shardmap.go
@@ -15,111 +15,110 @@
 )
 
 const (
-	mapEvery   = 500 * time.Millisecond
-	mapCall    = time.Second
-	startAlone = 5 * time.Second // how long a fleet of two waits for a third before the first map
-	probeEvery = 2 * time.Second
-	// probedAtOnce is how many nodes are called in a round of probes.
-	probedAtOnce = 4
-	startEnough  = claim.KeepersPerShard
+	mapInterval       = 500 * time.Millisecond
+	peerCallTimeout   = time.Second
+	pairStartDelay    = 5 * time.Second // wait for a third node before the first map is created with two
+	probeInterval     = 2 * time.Second
+	maxProbesPerRound = 4
+	firstMapNodes     = claim.KeepersPerShard
 )
 
-// mapLoop keeps the shard map fitting the fleet. Any node may write it, by
-// compare-and-swap; the first live node by name does, to save calls.
+// mapLoop updates the shard map when the fleet changes. Writes use compare-and-swap,
+// so any node may write; only the first live node by name does, to reduce calls.
 func (n *Node) mapLoop(ctx context.Context) {
-	probed := time.Time{}
-	process.Every(ctx, mapEvery, func() {
-		if !n.writesMap() {
+	lastProbe := time.Time{}
+	process.Every(ctx, mapInterval, func() {
+		if !n.isMapWriter() {
 			return
 		}
-		if time.Since(probed) > probeEvery {
-			n.probe(ctx)
-			probed = time.Now()
+		if time.Since(lastProbe) > probeInterval {
+			n.probeNodes(ctx)
+			lastProbe = time.Now()
 		}
-		n.mapRound(ctx)
+		n.updateMap(ctx)
 	})
 }
 
-// writesMap tells whether this node is the first live one by name.
-func (n *Node) writesMap() bool {
-	for _, o := range n.fleet.Nodes() {
-		if o.Name == n.self.Name {
+// isMapWriter reports whether this node is the first live node by name.
+func (n *Node) isMapWriter() bool {
+	for _, node := range n.fleet.Nodes() {
+		if node.Name == n.self.Name {
 			return true
 		}
-		if !o.Leaving && !n.fleet.RecentlyFailed(o.Name) {
+		if !node.Leaving && !n.fleet.RecentlyFailed(node.Name) {
 			return false
 		}
 	}
 	return false
 }
 
-// probe calls the nodes that somebody suspects, then others in turn, up to a
-// bound that does not grow with the fleet.
-func (n *Node) probe(ctx context.Context) {
+// probeNodes calls all suspected nodes, and other nodes round-robin up to
+// maxProbesPerRound calls.
+func (n *Node) probeNodes(ctx context.Context) {
 	nodes := n.fleet.Nodes()
-	var due []member.Node
-	for _, o := range nodes {
-		if n.fleet.SuspectedByAny(o.Name) {
-			due = append(due, o)
+	var targets []member.Node
+	for _, node := range nodes {
+		if n.fleet.SuspectedByAny(node.Name) {
+			targets = append(targets, node)
 		}
 	}
 	for range nodes {
-		if len(due) >= probedAtOnce {
+		if len(targets) >= maxProbesPerRound {
 			break
 		}
-		n.probed++
-		due = append(due, nodes[n.probed%len(nodes)])
+		n.probeOffset++
+		targets = append(targets, nodes[n.probeOffset%len(nodes)])
 	}
-	n.ask(ctx, due, false)
+	n.inventories(ctx, targets, false)
 }
 
-// ask reads the inventories of nodes, all at once.
-func (n *Node) ask(ctx context.Context, nodes []member.Node, shards bool) map[string]map[int]int64 {
-	ctx, cancel := context.WithTimeout(ctx, mapCall)
+// inventories fetches the ready shards and their epochs from nodes in parallel.
+func (n *Node) inventories(ctx context.Context, nodes []member.Node, shards bool) map[string]map[int]int64 {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := map[string]map[int]int64{n.self.Name: n.ledger.Ready()}
-	for _, o := range nodes {
-		if o.Name == n.self.Name {
+	readyShards := map[string]map[int]int64{n.self.Name: n.ledger.Ready()}
+	for _, node := range nodes {
+		if node.Name == n.self.Name {
 			continue
 		}
 		wg.Go(func() {
-			resp, err := n.pool.Client(o.Peers).Inventory(ctx, &peer.InventoryRequest{Shards: shards})
-			n.called(o.Peers, err)
+			resp, err := n.pool.Client(node.Peers).Inventory(ctx, &peer.InventoryRequest{Shards: shards})
+			n.recordCall(node.Peers, err)
 			if err != nil {
 				return
 			}
 			ready := map[int]int64{}
-			for _, r := range resp.Ready {
-				ready[int(r.Shard)] = r.Epoch
+			for _, shard := range resp.Ready {
+				ready[int(shard.Shard)] = shard.Epoch
 			}
 			mu.Lock()
-			out[o.Name] = ready
+			readyShards[node.Name] = ready
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
-	return out
+	return readyShards
 }
 
-func (n *Node) mapRound(ctx context.Context) {
+func (n *Node) updateMap(ctx context.Context) {
 	nodes := n.fleet.Nodes()
 	it, ok := n.view.Get(claim.MapKey)
 	fleet := n.claimFleet(nodes)
 	var next claim.Map
 	if !ok {
-		if !n.mayStart(fleet) {
+		if !n.mayCreateMap(fleet) {
 			return
 		}
-		next = claim.NewMap(n.set.Claims.Shards, fleet)
+		next = claim.NewMap(n.settings.Claims.Shards, fleet)
 	} else {
 		m, err := claim.DecodeMap(it.Value)
 		if err != nil {
 			return
 		}
-		if hasPassive(m) {
-			ready := n.ask(ctx, passiveKeepers(m, nodes), true)
+		if hasPassiveShard(m) {
+			ready := n.inventories(ctx, passiveKeepers(m, nodes), true)
 			fleet.Ready = func(k claim.Node, shard int) int64 { return ready[k.Name][shard] }
 		}
 		changed := false
@@ -127,23 +126,23 @@
 			return
 		}
 	}
-	swap, err := n.kv.PutIf(ctx, claim.MapKey, next.Encode(), it.Revision, 0)
-	klog.InfoS("shard_map", "won", swap.Succeeded, "revision", swap.Revision, "err", err)
+	result, err := n.kv.PutIf(ctx, claim.MapKey, next.Encode(), it.Revision, 0)
+	klog.InfoS("shard_map", "won", result.Succeeded, "revision", result.Revision, "err", err)
 	if err == nil {
-		n.waitRevision(ctx, swap.Revision)
+		n.waitRevision(ctx, result.Revision)
 	}
 }
 
-// waitRevision waits until the view holds what was just written, so that the
-// next round does not start from the map before.
+// waitRevision waits until the view includes revision rev, so that the next round
+// does not start from an outdated map.
 func (n *Node) waitRevision(ctx context.Context, rev int64) {
-	limit := time.After(mapCall)
+	timeout := time.After(peerCallTimeout)
 	for n.revision() < rev {
 		changed := n.view.Changed()
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			return
 		case <-changed:
 		case <-time.After(20 * time.Millisecond):
@@ -151,18 +150,18 @@
 	}
 }
 
-// passiveKeepers are the nodes that keep a shard which is not active yet.
+// passiveKeepers returns the nodes that keep a shard that is not active yet.
 func passiveKeepers(m claim.Map, nodes []member.Node) []member.Node {
-	wanted := map[string]bool{}
+	keepers := map[string]bool{}
 	for _, s := range m.Shards {
 		for _, k := range s.Keepers {
-			wanted[k.Name] = wanted[k.Name] || !s.Active
+			keepers[k.Name] = keepers[k.Name] || !s.Active
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(nodes), func(o member.Node) bool { return !wanted[o.Name] })
+	return slices.DeleteFunc(slices.Clone(nodes), func(node member.Node) bool { return !keepers[node.Name] })
 }
 
-func hasPassive(m claim.Map) bool {
+func hasPassiveShard(m claim.Map) bool {
 	for _, s := range m.Shards {
 		if !s.Active {
 			return true
@@ -171,25 +170,25 @@
 	return false
 }
 
-// mayStart tells whether the first map may be written: the key-value service
-// has none, and there are nodes enough for it.
-func (n *Node) mayStart(f claim.Fleet) bool {
+// mayCreateMap reports whether the first map may be written: the view is loaded
+// and there are enough live nodes.
+func (n *Node) mayCreateMap(fleet claim.Fleet) bool {
 	rev, _ := n.view.Complete()
 	if rev == 0 {
 		return false
 	}
-	alone := time.Since(n.started) > startAlone
-	return len(f.Live) >= startEnough || alone && len(f.Live) >= claim.Majority || n.set.Claims.SingleNode && len(f.Live) >= 1
+	delayElapsed := time.Since(n.startedAt) > pairStartDelay
+	return len(fleet.Live) >= firstMapNodes || delayElapsed && len(fleet.Live) >= claim.Majority || n.settings.Claims.SingleNode && len(fleet.Live) >= 1
 }
 
 func (n *Node) claimFleet(nodes []member.Node) claim.Fleet {
-	f := claim.Fleet{Live: map[string]claim.Node{}, NowMS: time.Now().UnixMilli(), Ready: func(claim.Node, int) int64 { return 0 }}
-	for _, o := range nodes {
-		if o.Leaving || n.fleet.FailingFor(o.Name) > n.set.Claims.Suspect {
+	fleet := claim.Fleet{Live: map[string]claim.Node{}, NowMS: time.Now().UnixMilli(), Ready: func(claim.Node, int) int64 { return 0 }}
+	for _, node := range nodes {
+		if node.Leaving || n.fleet.FailingFor(node.Name) > n.settings.Claims.Suspect {
 			continue
 		}
-		f.Live[o.Name] = claim.Node{Name: o.Name, Incarnation: o.Incarnation, Addr: o.Peers, FailureDomain: o.FailureDomain, VM: o.VM}
+		fleet.Live[node.Name] = claim.Node{Name: node.Name, Incarnation: node.Incarnation, Addr: node.Peers, FailureDomain: node.FailureDomain, VM: node.VM}
 	}
-	f.Gone = func(k claim.Node) bool { return n.fleet.Gone(k.Name, k.Incarnation, k.VM) }
-	return f
+	fleet.Gone = func(k claim.Node) bool { return n.fleet.Gone(k.Name, k.Incarnation, k.VM) }
+	return fleet
 }
