--- a/cmd/crank-control/main.go
+++ b/cmd/crank-control/main.go
@@ -1,4 +1,4 @@
-// Crank-control serves the operators' API and plans, while it holds the planner lease.
+// Crank-control serves the operators' API and runs the planner while it holds the planner lease.
 package main
 
 import (
@@ -10,11 +10,11 @@
 )
 
 func main() {
-	process.Main("crank-control", "Crank-control serves the operators' API and plans, while it holds the planner lease.", settings.LoadControl, run)
+	process.Main("crank-control", "Crank-control serves the operators' API and runs the planner while it holds the planner lease.", settings.LoadControl, run)
 }
 
-func run(ctx context.Context, set settings.Control) error {
-	p, err := control.New(set)
+func run(ctx context.Context, cfg settings.Control) error {
+	p, err := control.New(cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/crank-entry/main.go
+++ b/cmd/crank-entry/main.go
@@ -13,8 +13,8 @@
 	process.Main("crank-entry", "Crank-entry serves callers: it admits, routes, streams, retries and resumes their requests.", settings.LoadEntry, run)
 }
 
-func run(ctx context.Context, set settings.Entry) error {
-	p, err := entry.New(set)
+func run(ctx context.Context, cfg settings.Entry) error {
+	p, err := entry.New(cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/crank-gateway/main.go
+++ b/cmd/crank-gateway/main.go
@@ -1,4 +1,4 @@
-// Crank-gateway serves callers of operators' routes on the users' platform.
+// Crank-gateway serves callers of the routes that operators configure on the users' platform.
 package main
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/crankridge/crankridge/src/process"
 )
 
-const description = "Crank-gateway serves callers of operators' routes on the users' platform."
+const description = "Crank-gateway serves callers of the routes that operators configure on the users' platform."
 
 func main() {
 	process.Main("crank-gateway", description, platform.Load, run)
 }
 
-func run(ctx context.Context, set gateway.Settings) error {
-	node, err := gateway.New(set, platform.New(set))
+func run(ctx context.Context, cfg gateway.Settings) error {
+	node, err := gateway.New(cfg, platform.New(cfg))
 	if err != nil {
 		return err
 	}
-	go process.Reload(ctx, set.File, platform.Load, node.Reload)
+	go process.Reload(ctx, cfg.File, platform.Load, node.Reload)
 	return node.Run(ctx)
 }
--- a/cmd/crank-standin/main.go
+++ b/cmd/crank-standin/main.go
@@ -1,4 +1,4 @@
-// Crank-standin runs small fakes of the outside services, for tests and the demo only.
+// Crank-standin runs simplified fakes of external services, for tests and the demo only.
 package main
 
 import (
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	process.Main("crank-standin", "Crank-standin runs small fakes of the outside services, for tests and the demo only.", settings.LoadStandin, standin.Run)
+	process.Main("crank-standin", "Crank-standin runs simplified fakes of external services, for tests and the demo only.", settings.LoadStandin, standin.Run)
 }
--- a/cmd/crankctl/main.go
+++ b/cmd/crankctl/main.go
@@ -1,4 +1,5 @@
-// Crankctl is the operators' shell command, and a caller for trying things out.
+// Crankctl is the command-line client for operators. It can also send requests as
+// a caller, for trying out a cluster.
 package main
 
 import "github.com/crankridge/crankridge/src/ctl"
--- a/src/process/every.go
+++ b/src/process/every.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Every calls f each interval until ctx ends. A call that takes longer than
-// the interval delays the next.
+// Every calls f once per interval until ctx is done. Calls do not overlap: one
+// that takes longer than the interval delays the next.
 func Every(ctx context.Context, interval time.Duration, f func()) {
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			f()
 		}
 	}
--- a/src/process/main.go
+++ b/src/process/main.go
@@ -1,5 +1,5 @@
-// Package process is what the binaries' main functions share: the command
-// line, the settings check, signals and exit codes.
+// Package process implements what the main functions of the binaries share:
+// command line, settings check, signals and exit codes.
 package process
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/alecthomas/kong"
 	"k8s.io/klog/v2"
 
-	_ "github.com/crankridge/crankridge/src/hangup" // a hangup must not end the process
+	_ "github.com/crankridge/crankridge/src/hangup" // keeps SIGHUP from terminating the process
 	"github.com/crankridge/crankridge/src/telemetry"
 )
 
 // Exit codes.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailure         = 1
+	exitInvalidSettings = 2
 )
 
 type flags struct {
@@ -30,16 +30,17 @@
 	Verbose  int    `help:"Log more: 1 for retries and lost connections." short:"v" default:"0"`
 }
 
-// Main reads the settings and runs the process until SIGTERM or an interrupt.
-func Main[T any](name, doc string, load func(path string) (T, error), run func(context.Context, T) error) {
+// Main loads the settings and calls run with a context that is canceled on
+// SIGINT or SIGTERM.
+func Main[T any](name, description string, load func(path string) (T, error), run func(context.Context, T) error) {
 	var f flags
-	kong.Parse(&f, kong.Name(name), kong.Description(doc))
-	lines := logTo(f.Verbose)
-	defer flush(lines)
-	set, err := load(f.Settings)
+	kong.Parse(&f, kong.Name(name), kong.Description(description))
+	logs := setUpLogging(f.Verbose)
+	defer flush(logs)
+	cfg, err := load(f.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if f.Check {
 		fmt.Println("settings are valid")
@@ -47,15 +48,15 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := run(ctx, set); err != nil {
+	if err := run(ctx, cfg); err != nil {
 		klog.ErrorS(err, "failed", "process", name)
-		flush(lines)
-		os.Exit(exitFailed)
+		flush(logs)
+		os.Exit(exitFailure)
 	}
 }
 
-// logTo sends the log to standard output by a writer that never blocks.
-func logTo(level int) *telemetry.LogWriter {
+// setUpLogging directs klog to standard output through a non-blocking writer.
+func setUpLogging(level int) *telemetry.LogWriter {
 	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(fs)
 	_ = fs.Set("v", fmt.Sprint(level))
@@ -67,7 +68,7 @@
 	return w
 }
 
-// flush writes what is left of the log, within flushMost.
+// flush writes buffered log lines, for at most flushTimeout.
 func flush(w *telemetry.LogWriter) {
 	klog.Flush()
 	done := make(chan struct{})
@@ -77,9 +78,9 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(flushMost):
+	case <-time.After(flushTimeout):
 	}
 }
 
-// flushMost bounds the wait for a reader of the log that is slow.
-const flushMost = 200 * time.Millisecond
+// flushTimeout bounds the wait for a slow reader of the log.
+const flushTimeout = 200 * time.Millisecond
--- a/src/process/reload.go
+++ b/src/process/reload.go
@@ -10,40 +10,41 @@
 	"k8s.io/klog/v2"
 )
 
-// lookEvery is how often a settings file is looked at for a change without a signal.
-const lookEvery = time.Second
+// pollInterval is the interval at which the modification time of the settings
+// file is checked.
+const pollInterval = time.Second
 
-// Reload loads the settings at path again, and puts them in force by apply, at
-// each hangup signal and each change of the file, until ctx ends. Settings
-// that are wrong change nothing.
+// Reload loads and applies the settings at path on each SIGHUP and each change of
+// the file, until ctx is done. Invalid settings are not applied.
 func Reload[T any](ctx context.Context, path string, load func(path string) (T, error), apply func(T)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	last := changedAt(path)
+	lastModTime := modTime(path)
 	for {
-		by := "signal"
+		trigger := "signal"
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-		case <-time.After(lookEvery):
-			if at := changedAt(path); !at.After(last) {
+		case <-time.After(pollInterval):
+			if at := modTime(path); !at.After(lastModTime) {
 				continue
 			}
-			by = "change"
+			trigger = "change"
 		}
-		last = changedAt(path)
-		set, err := load(path)
-		klog.InfoS("reload", "path", path, "by", by, "err", err)
+		lastModTime = modTime(path)
+		cfg, err := load(path)
+		klog.InfoS("reload", "path", path, "by", trigger, "err", err)
 		if err == nil {
-			apply(set)
+			apply(cfg)
 		}
 	}
 }
 
-// changedAt is when the file was changed; the zero time when it is not there.
-func changedAt(path string) time.Time {
+// modTime returns the file's modification time, or the zero time if it cannot be
+// read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/src/process/reload_test.go
+++ b/src/process/reload_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSettingsAreLoadedAgainBySignalAndByChange(t *testing.T) {
+func TestReloadOnSignalAndFileChange(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings")
 	is.NoErr(os.WriteFile(path, []byte("one"), 0o600))
@@ -36,14 +36,14 @@
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // it must not end the process
+	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // must not terminate the process
 	is.Equal(next(), "one")
 	write := func(text string, at time.Time) {
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 		is.NoErr(os.Chtimes(path, at, at))
 	}
 	write("wrong", time.Now().Add(time.Hour))
-	time.Sleep(2 * lookEvery)
+	time.Sleep(2 * pollInterval)
 	write("two", time.Now().Add(2*time.Hour))
-	is.Equal(next(), "two") // what is wrong changed nothing
+	is.Equal(next(), "two") // the invalid settings were not applied
 }
