--- a/src/operator/server.go
+++ b/src/operator/server.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	maxBody       = 1 << 20
-	retryDown     = 3 * time.Second
-	headerChange  = "Crankridge-Change-Id"
-	headerOutcome = "Crankridge-Outcome"
-	bookmarkEvery = 5 * time.Second
+	maxBodyBytes          = 1 << 20
+	unavailableRetryAfter = 3 * time.Second
+	headerChangeID        = "Crankridge-Change-Id"
+	headerOutcome         = "Crankridge-Outcome"
+	bookmarkInterval      = 5 * time.Second
 )
 
-// Server is the operators' HTTP surface of one process.
+// Server serves the operators' HTTP API.
 type Server struct {
-	store   *Store
-	view    *view.View
-	fleet   *member.Fleet
-	inForce func(ctx context.Context, version int64) RolloutStatus
-	explain func(subject string) []telemetry.Decision
+	store        *Store
+	view         *view.View
+	fleet        *member.Fleet
+	queryRollout func(ctx context.Context, version int64) RolloutStatus
+	decisionsFor func(subject string) []telemetry.Decision
 }
 
-// InForce tells on which live nodes a version is in force.
+// RolloutStatus tells how many live nodes have applied a version.
 type RolloutStatus struct {
 	Version int64    `json:"version"`
 	Nodes   int      `json:"nodes"`
@@ -48,94 +48,96 @@
 	Lagging []string `json:"lagging,omitempty"`
 }
 
-// NewServer returns the surface. inForce asks the nodes, explain the planner's journal.
-func NewServer(s *Store, v *view.View, f *member.Fleet, inForce func(context.Context, int64) RolloutStatus, explain func(string) []telemetry.Decision) *Server {
-	return &Server{store: s, view: v, fleet: f, inForce: inForce, explain: explain}
+// NewServer returns a Server. queryRollout queries the live nodes; decisionsFor
+// reads the planner's decision journal.
+func NewServer(s *Store, v *view.View, f *member.Fleet, queryRollout func(context.Context, int64) RolloutStatus, decisionsFor func(string) []telemetry.Decision) *Server {
+	return &Server{store: s, view: v, fleet: f, queryRollout: queryRollout, decisionsFor: decisionsFor}
 }
 
-// Routes adds the API to a router.
+// Routes registers the API's handlers on r.
 func (s *Server) Routes(r *mux.Router) {
 	r.HandleFunc("/v1/resources/{kind}", s.list).Methods(http.MethodGet)
 	r.HandleFunc("/v1/resources/{kind}/{name}", s.get).Methods(http.MethodGet)
 	r.HandleFunc("/v1/resources/{kind}/{name}", s.put).Methods(http.MethodPut)
 	r.HandleFunc("/v1/resources/{kind}/{name}", s.remove).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/watch", s.watch).Methods(http.MethodGet)
-	r.HandleFunc("/v1/inforce", s.serveInForce).Methods(http.MethodGet)
-	r.HandleFunc("/v1/status/events", s.events).Methods(http.MethodGet)
-	r.HandleFunc("/v1/nodes", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, s.fleet.Nodes()) }).Methods(http.MethodGet)
-	r.HandleFunc("/v1/upstreams", s.upstreams).Methods(http.MethodGet)
+	r.HandleFunc("/v1/inforce", s.rolloutStatus).Methods(http.MethodGet)
+	r.HandleFunc("/v1/status/events", s.listEventStatuses).Methods(http.MethodGet)
+	r.HandleFunc("/v1/nodes", func(w http.ResponseWriter, _ *http.Request) { replyJSON(w, http.StatusOK, s.fleet.Nodes()) }).Methods(http.MethodGet)
+	r.HandleFunc("/v1/upstreams", s.listUpstreams).Methods(http.MethodGet)
 	r.HandleFunc("/v1/explain", func(w http.ResponseWriter, q *http.Request) {
-		reply(w, http.StatusOK, s.explain(q.URL.Query().Get("subject")))
+		replyJSON(w, http.StatusOK, s.decisionsFor(q.URL.Query().Get("subject")))
 	}).Methods(http.MethodGet)
 }
 
-// Problem is the body of every error.
+// Problem is the body of an error response.
 type Problem struct {
 	Error   string            `json:"error"`
 	Hint    string            `json:"hint,omitempty"`
 	Current *catalog.Resource `json:"current,omitempty"`
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func replyJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func kindOf(w http.ResponseWriter, r *http.Request) (catalog.Kind, bool) {
+func parseKind(w http.ResponseWriter, r *http.Request) (catalog.Kind, bool) {
 	kind, ok := catalog.ParseKind(mux.Vars(r)["kind"])
 	if !ok {
-		reply(w, http.StatusNotFound, Problem{Error: "there is no kind " + mux.Vars(r)["kind"], Hint: fmt.Sprintf("kinds are %v", catalog.Kinds)})
+		replyJSON(w, http.StatusNotFound, Problem{Error: "there is no kind " + mux.Vars(r)["kind"], Hint: fmt.Sprintf("kinds are %v", catalog.Kinds)})
 	}
 	return kind, ok
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	if kind, ok := kindOf(w, r); ok {
+	if kind, ok := parseKind(w, r); ok {
 		rev, _ := s.view.Complete()
 		w.Header().Set("Crankridge-Revision", strconv.FormatInt(rev, 10))
-		reply(w, http.StatusOK, s.store.List(kind))
+		replyJSON(w, http.StatusOK, s.store.List(kind))
 	}
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	kind, ok := kindOf(w, r)
+	kind, ok := parseKind(w, r)
 	if !ok {
 		return
 	}
 	res, ok := s.store.Get(kind, mux.Vars(r)["name"])
 	if !ok {
-		reply(w, http.StatusNotFound, Problem{Error: fmt.Sprintf("there is no %s %q", kind, mux.Vars(r)["name"])})
+		replyJSON(w, http.StatusNotFound, Problem{Error: fmt.Sprintf("there is no %s %q", kind, mux.Vars(r)["name"])})
 		return
 	}
 	w.Header().Set("ETag", etag(res.Version))
-	reply(w, http.StatusOK, res)
+	replyJSON(w, http.StatusOK, res)
 }
 
 func etag(version int64) string { return fmt.Sprintf("%q", strconv.FormatInt(version, 10)) }
 
-// expected reads If-Match: a version, or "0" for a resource that must not exist.
-func expected(w http.ResponseWriter, r *http.Request) (int64, bool) {
+// parseIfMatch reads the expected version from If-Match; "0" means that the
+// resource must not exist.
+func parseIfMatch(w http.ResponseWriter, r *http.Request) (int64, bool) {
 	v := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if v == "" {
-		reply(w, http.StatusPreconditionRequired, Problem{
+		replyJSON(w, http.StatusPreconditionRequired, Problem{
 			Error: "If-Match is missing", Hint: `send the version you read as If-Match, or "0" to create`,
 		})
 		return 0, false
 	}
 	version, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, Problem{Error: "If-Match must be a version number; got " + v})
+		replyJSON(w, http.StatusBadRequest, Problem{Error: "If-Match must be a version number; got " + v})
 	}
 	return version, err == nil
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	kind, ok := kindOf(w, r)
+	kind, ok := parseKind(w, r)
 	if !ok {
 		return
 	}
-	version, ok := expected(w, r)
+	version, ok := parseIfMatch(w, r)
 	if !ok {
 		return
 	}
@@ -145,25 +147,25 @@
 	}
 	if r.URL.Query().Get("dry_run") == "true" {
 		res.Version = version
-		reply(w, http.StatusOK, res)
+		replyJSON(w, http.StatusOK, res)
 		return
 	}
-	change := r.Header.Get(headerChange)
-	if change == "" {
-		change = uuid.NewString()
+	changeID := r.Header.Get(headerChangeID)
+	if changeID == "" {
+		changeID = uuid.NewString()
 	}
-	w.Header().Set(headerChange, change)
-	stored, err := s.store.Put(r.Context(), res, version, change)
-	klog.InfoS("put", "kind", kind, "name", res.Name, "expected", version, "version", stored.Version, "change", change, "err", err)
-	s.answer(w, stored, err)
+	w.Header().Set(headerChangeID, changeID)
+	stored, err := s.store.Put(r.Context(), res, version, changeID)
+	klog.InfoS("put", "kind", kind, "name", res.Name, "expected", version, "version", stored.Version, "change", changeID, "err", err)
+	s.replyResult(w, stored, err)
 }
 
 func readResource(w http.ResponseWriter, r *http.Request, kind catalog.Kind) (catalog.Resource, bool) {
 	var res catalog.Resource
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&res); err != nil {
-		reply(w, http.StatusBadRequest, Problem{Error: "the body is not a resource: " + err.Error()})
+		replyJSON(w, http.StatusBadRequest, Problem{Error: "the body is not a resource: " + err.Error()})
 		return res, false
 	}
 	if res.Kind == "" {
@@ -174,78 +176,78 @@
 		res.Name = name
 	}
 	if res.Kind != kind || res.Name != name {
-		reply(w, http.StatusBadRequest, Problem{Error: fmt.Sprintf("the path names %s/%s, the body %s/%s", kind, name, res.Kind, res.Name)})
+		replyJSON(w, http.StatusBadRequest, Problem{Error: fmt.Sprintf("the path names %s/%s, the body %s/%s", kind, name, res.Kind, res.Name)})
 		return res, false
 	}
 	res.Changes = nil
 	if err := res.Validate(); err != nil {
-		reply(w, http.StatusUnprocessableEntity, Problem{Error: err.Error()})
+		replyJSON(w, http.StatusUnprocessableEntity, Problem{Error: err.Error()})
 		return res, false
 	}
 	return res, true
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
-	kind, ok := kindOf(w, r)
+	kind, ok := parseKind(w, r)
 	if !ok {
 		return
 	}
-	version, ok := expected(w, r)
+	version, ok := parseIfMatch(w, r)
 	if !ok {
 		return
 	}
-	gone, err := s.store.Delete(r.Context(), kind, mux.Vars(r)["name"], version)
-	klog.InfoS("delete", "kind", kind, "name", mux.Vars(r)["name"], "expected", version, "version", gone.Version, "err", err)
-	s.answer(w, gone, err)
+	deleted, err := s.store.Delete(r.Context(), kind, mux.Vars(r)["name"], version)
+	klog.InfoS("delete", "kind", kind, "name", mux.Vars(r)["name"], "expected", version, "version", deleted.Version, "err", err)
+	s.replyResult(w, deleted, err)
 }
 
-func (s *Server) answer(w http.ResponseWriter, res catalog.Resource, err error) {
+func (s *Server) replyResult(w http.ResponseWriter, res catalog.Resource, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("ETag", etag(res.Version))
-		reply(w, http.StatusOK, res)
+		replyJSON(w, http.StatusOK, res)
 	case errors.Is(err, ErrConflict):
 		p := Problem{Error: "the resource is at another version", Hint: "read it, apply your change to what stands there, and send its version as If-Match"}
 		if res.Version > 0 {
 			p.Current = &res
 		}
-		reply(w, http.StatusPreconditionFailed, p)
+		replyJSON(w, http.StatusPreconditionFailed, p)
 	case errors.Is(err, ErrStoreUnavailable):
 		w.Header().Set(headerOutcome, string(request.NotRun))
-		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(retryDown).Seconds())+1))
-		reply(w, http.StatusServiceUnavailable, Problem{Error: ErrStoreUnavailable.Error(), Hint: "nothing was changed; try again after Retry-After"})
+		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(unavailableRetryAfter).Seconds())+1))
+		replyJSON(w, http.StatusServiceUnavailable, Problem{Error: ErrStoreUnavailable.Error(), Hint: "nothing was changed; try again after Retry-After"})
 	default:
 		w.Header().Set(headerOutcome, string(request.MayHaveRun))
-		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(retryDown).Seconds())+1))
-		reply(w, http.StatusServiceUnavailable, Problem{Error: err.Error(), Hint: "send the same change again with the same " + headerChange + ": it is made once"})
+		w.Header().Set("Retry-After", strconv.Itoa(int(request.Jitter(unavailableRetryAfter).Seconds())+1))
+		replyJSON(w, http.StatusServiceUnavailable, Problem{Error: err.Error(), Hint: "send the same change again with the same " + headerChangeID + ": it is made once"})
 	}
 }
 
-func (s *Server) serveInForce(w http.ResponseWriter, r *http.Request) {
+func (s *Server) rolloutStatus(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, Problem{Error: "version must be a number"})
+		replyJSON(w, http.StatusBadRequest, Problem{Error: "version must be a number"})
 		return
 	}
-	reply(w, http.StatusOK, s.inForce(r.Context(), version))
+	replyJSON(w, http.StatusOK, s.queryRollout(r.Context(), version))
 }
 
-func (s *Server) events(w http.ResponseWriter, _ *http.Request) {
-	out := []event.Status{}
+func (s *Server) listEventStatuses(w http.ResponseWriter, _ *http.Request) {
+	statuses := []event.Status{}
 	for _, it := range s.view.List(event.Prefix) {
 		if st, err := event.Decode(it.Value); err == nil {
-			out = append(out, st)
+			statuses = append(statuses, st)
 		}
 	}
-	reply(w, http.StatusOK, out)
+	replyJSON(w, http.StatusOK, statuses)
 }
 
-func (s *Server) upstreams(w http.ResponseWriter, _ *http.Request) {
-	out := []upstream.Published{}
+func (s *Server) listUpstreams(w http.ResponseWriter, _ *http.Request) {
+	published := []upstream.Published{}
 	for _, it := range s.view.List(upstream.Prefix) {
 		if d, err := upstream.DecodeDomainUpstreams(it.Value); err == nil {
-			out = append(out, d.Upstreams...)
+			published = append(published, d.Upstreams...)
 		}
 	}
-	reply(w, http.StatusOK, out)
+	replyJSON(w, http.StatusOK, published)
 }
--- a/src/operator/store.go
+++ b/src/operator/store.go
@@ -1,5 +1,5 @@
-// Package operator is the resource API: the surface on which operators read,
-// change and watch what the system is to do.
+// Package operator implements the resource API, through which operators read,
+// change and watch the desired state of the system.
 package operator
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/crankridge/crankridge/src/view"
 )
 
-// Errors of a change.
+// Errors of Store.Put and Store.Delete.
 var (
 	ErrConflict         = errors.New("the resource was changed by somebody else")
 	ErrOutcomeUnknown   = errors.New("whether the change took effect is not known")
@@ -24,122 +24,121 @@
 )
 
 const (
-	changesKept  = 8
-	settleTries  = 6
-	settlePause  = 100 * time.Millisecond
-	viewWait     = time.Second
-	viewPollStep = 20 * time.Millisecond
+	maxStoredChangeIDs = 8
+	maxAttempts        = 6
+	retryBackoff       = 100 * time.Millisecond
+	viewWaitTimeout    = time.Second
+	viewPollInterval   = 20 * time.Millisecond
 )
 
-// Store makes changes to resources. Each is one compare-and-swap on one key.
+// Store reads and writes resources. Each write is a compare-and-swap on one key.
 type Store struct {
 	kv   *ports.KV
 	view *view.View
 }
 
-// NewStore returns a store over the key-value service and this process's view.
+// NewStore returns a Store that writes to kv and reads from v.
 func NewStore(kv *ports.KV, v *view.View) *Store { return &Store{kv, v} }
 
-// Put stores a resource that is still at version (0: that does not exist).
-// change names this write: asked again by the same name, or after a lost
-// answer, it is made once. The result is the stored resource. ErrConflict
-// comes with the resource as it stands.
-func (s *Store) Put(ctx context.Context, r catalog.Resource, version int64, change string) (catalog.Resource, error) {
+// Put stores a resource if its current version is version; 0 means that it must
+// not exist. A write repeated with the same changeID is applied once. Put returns
+// the stored resource, or the current one along with ErrConflict.
+func (s *Store) Put(ctx context.Context, r catalog.Resource, version int64, changeID string) (catalog.Resource, error) {
 	key := catalog.Key(r.Kind, r.Name)
-	tried := false
-	for try := range settleTries {
-		if try > 0 {
-			time.Sleep(request.Jitter(settlePause << try))
+	writeSent := false
+	for attempt := range maxAttempts {
+		if attempt > 0 {
+			time.Sleep(request.Jitter(retryBackoff << attempt))
 		}
 		item, exists, _, err := s.kv.Get(ctx, key)
 		if err != nil {
-			if !tried {
+			if !writeSent {
 				return r, oops.Wrap(errors.Join(ErrStoreUnavailable, err))
 			}
 			continue
 		}
-		have, done, err := standing(item, exists, version, change)
+		current, done, err := compareStored(item, exists, version, changeID)
 		if err != nil || done {
-			return have, s.await(ctx, have.Version, err)
+			return current, s.waitForView(ctx, current.Version, err)
 		}
-		r.Changes = lastChanges(append(slices.Clone(have.Changes), change))
-		tried = true
+		r.Changes = trimChangeIDs(append(slices.Clone(current.Changes), changeID))
+		writeSent = true
 		swap, err := s.kv.PutIf(ctx, key, r.Encode(), version, 0)
 		if err == nil && swap.Succeeded {
 			r.Version = swap.Revision
-			return r, s.await(ctx, r.Version, nil)
+			return r, s.waitForView(ctx, r.Version, nil)
 		}
-		// Lost the race, or lost the answer: the next reading tells which.
+		// Either a concurrent write won or the response was lost; reading again tells.
 	}
 	return r, oops.Wrap(ErrOutcomeUnknown)
 }
 
-// standing compares what is stored with what the writer expects: done when
-// this very change is stored already.
-func standing(item ports.Item, exists bool, version int64, change string) (have catalog.Resource, done bool, err error) {
+// compareStored compares the stored resource with the version that the writer
+// expects. done reports that the change is already stored.
+func compareStored(item ports.Item, exists bool, version int64, changeID string) (current catalog.Resource, done bool, err error) {
 	if exists {
-		if have, err = catalog.Decode(item); err != nil {
-			return have, false, oops.Wrapf(err, "stored resource")
+		if current, err = catalog.Decode(item); err != nil {
+			return current, false, oops.Wrapf(err, "stored resource")
 		}
 	}
-	if exists && slices.Contains(have.Changes, change) {
-		return have, true, nil
+	if exists && slices.Contains(current.Changes, changeID) {
+		return current, true, nil
 	}
-	if have.Version != version {
-		return have, false, oops.Wrap(ErrConflict)
+	if current.Version != version {
+		return current, false, oops.Wrap(ErrConflict)
 	}
-	return have, false, nil
+	return current, false, nil
 }
 
-func lastChanges(ids []string) []string { return ids[max(len(ids)-changesKept, 0):] }
+func trimChangeIDs(ids []string) []string { return ids[max(len(ids)-maxStoredChangeIDs, 0):] }
 
-// Delete removes a resource that is still at version.
+// Delete removes a resource if its current version is version.
 func (s *Store) Delete(ctx context.Context, kind catalog.Kind, name string, version int64) (catalog.Resource, error) {
 	key := catalog.Key(kind, name)
-	tried := false
-	for try := range settleTries {
-		if try > 0 {
-			time.Sleep(request.Jitter(settlePause << try))
+	writeSent := false
+	for attempt := range maxAttempts {
+		if attempt > 0 {
+			time.Sleep(request.Jitter(retryBackoff << attempt))
 		}
 		item, exists, rev, err := s.kv.Get(ctx, key)
 		switch {
-		case err != nil && !tried:
+		case err != nil && !writeSent:
 			return catalog.Resource{}, oops.Wrap(errors.Join(ErrStoreUnavailable, err))
 		case err != nil:
 			continue
-		case !exists && tried:
-			return catalog.Resource{Kind: kind, Name: name, Version: rev}, s.await(ctx, rev, nil)
+		case !exists && writeSent:
+			return catalog.Resource{Kind: kind, Name: name, Version: rev}, s.waitForView(ctx, rev, nil)
 		}
-		have, _, err := standing(item, exists, version, "")
+		current, _, err := compareStored(item, exists, version, "")
 		if err != nil {
-			return have, err
+			return current, err
 		}
-		tried = true
+		writeSent = true
 		swap, err := s.kv.DeleteIf(ctx, key, version)
 		if err == nil && swap.Succeeded {
-			return catalog.Resource{Kind: kind, Name: name, Version: swap.Revision}, s.await(ctx, swap.Revision, nil)
+			return catalog.Resource{Kind: kind, Name: name, Version: swap.Revision}, s.waitForView(ctx, swap.Revision, nil)
 		}
 	}
 	return catalog.Resource{}, oops.Wrap(ErrOutcomeUnknown)
 }
 
-// await gives this process's view a moment to hold the write, so that a
-// reader here sees it. err passes through.
-func (s *Store) await(ctx context.Context, version int64, err error) error {
+// waitForView waits up to viewWaitTimeout until the view contains the write, so
+// that reads through this process see it. A non-nil err is returned unchanged.
+func (s *Store) waitForView(ctx context.Context, version int64, err error) error {
 	if err != nil {
 		return err
 	}
-	limit := time.Now().Add(viewWait)
-	for time.Now().Before(limit) && ctx.Err() == nil {
+	deadline := time.Now().Add(viewWaitTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		if rev, _ := s.view.Complete(); rev >= version {
 			return nil
 		}
-		time.Sleep(viewPollStep)
+		time.Sleep(viewPollInterval)
 	}
 	return nil
 }
 
-// Get reads a resource from this process's view.
+// Get reads a resource from the view.
 func (s *Store) Get(kind catalog.Kind, name string) (catalog.Resource, bool) {
 	it, ok := s.view.Get(catalog.Key(kind, name))
 	if !ok {
@@ -149,13 +148,13 @@
 	return r, err == nil
 }
 
-// List reads all resources of a kind from this process's view.
+// List reads all resources of a kind from the view.
 func (s *Store) List(kind catalog.Kind) []catalog.Resource {
-	out := []catalog.Resource{}
+	resources := []catalog.Resource{}
 	for _, it := range s.view.List(catalog.ConfigPrefix + string(kind) + "/") {
 		if r, err := catalog.Decode(it); err == nil {
-			out = append(out, r)
+			resources = append(resources, r)
 		}
 	}
-	return out
+	return resources
 }
--- a/src/operator/watch.go
+++ b/src/operator/watch.go
@@ -20,8 +20,8 @@
 	TypeBookmark = "bookmark"
 )
 
-// Change is one line of a watch. A bookmark says that everything up to its
-// version has been sent.
+// Change is one line of a watch stream. A bookmark means that all changes up to
+// its version have been sent.
 type Change struct {
 	Type     string            `json:"type"`
 	Version  int64             `json:"version"`
@@ -31,30 +31,30 @@
 	Status   *event.Status     `json:"status,omitempty"`
 }
 
-// watch streams every change above the version given, one JSON line each. 410
-// says that the version is older than what this process remembers: list again.
+// watch streams all changes after the given version as JSON lines. It replies 410
+// if that version is no longer in the view's log; the client must list again.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, Problem{Error: "from must be a version number", Hint: "take it from the Crankridge-Revision header of a list"})
+		replyJSON(w, http.StatusBadRequest, Problem{Error: "from must be a version number", Hint: "take it from the Crankridge-Revision header of a list"})
 		return
 	}
 	enc := json.NewEncoder(w)
-	begun := false
+	headerSent := false
 	for {
 		changed := s.view.Changed()
 		items, complete, ok := s.view.ChangesSince(from)
 		if !ok {
-			s.tooOld(w, begun)
+			s.replyTooOld(w, headerSent)
 			return
 		}
-		if !begun {
+		if !headerSent {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusOK)
-			begun = true
+			headerSent = true
 		}
 		for _, it := range items {
-			if c, ok := changeOf(it); ok && enc.Encode(c) != nil {
+			if c, ok := decodeChange(it); ok && enc.Encode(c) != nil {
 				return
 			}
 		}
@@ -67,20 +67,20 @@
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(bookmarkEvery):
+		case <-time.After(bookmarkInterval):
 		}
 	}
 }
 
-func (s *Server) tooOld(w http.ResponseWriter, begun bool) {
-	if begun {
-		// The stream breaks off; the watcher comes back from its last bookmark.
+func (s *Server) replyTooOld(w http.ResponseWriter, headerSent bool) {
+	if headerSent {
+		// Abort the stream; the client reconnects from its last bookmark.
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, http.StatusGone, Problem{Error: "the version is older than the history kept here", Hint: "list again and watch from the list's Crankridge-Revision"})
+	replyJSON(w, http.StatusGone, Problem{Error: "the version is older than the history kept here", Hint: "list again and watch from the list's Crankridge-Revision"})
 }
 
-func changeOf(it ports.Item) (Change, bool) {
+func decodeChange(it ports.Item) (Change, bool) {
 	if name, ok := strings.CutPrefix(it.Key, event.Prefix); ok && !it.Deleted {
 		st, err := event.Decode(it.Value)
 		return Change{Type: TypeStatus, Version: it.Revision, Kind: catalog.KindEvent, Name: name, Status: &st}, err == nil
