--- a/src/control/control.go
+++ b/src/control/control.go
@@ -1,5 +1,5 @@
-// Package control puts the parts of crank-control together and runs them: the
-// operators' API, and the planner while this process holds its lease.
+// Package control implements crank-control: the operators' API, and the planner
+// while this process holds the planner lease.
 package control
 
 import (
@@ -26,76 +26,76 @@
 )
 
 const (
-	logKept       = 20000
-	journalKept   = 4096
-	inForceCall   = time.Second
-	engineTimeout = 2 * time.Second
-	stopGrace     = 5 * time.Second
+	maxViewLogEntries   = 20000
+	maxJournalEntries   = 4096
+	rolloutQueryTimeout = time.Second
+	engineTimeout       = 2 * time.Second
+	shutdownTimeout     = 5 * time.Second
 )
 
-// Process is one crank-control.
+// Process is a crank-control instance.
 type Process struct {
-	set       settings.Control
-	kv        *ports.KV
-	kvTraffic telemetry.Traffic
-	view      *view.View
-	fleet     *member.Fleet
-	pool      *peer.Pool
-	lead      *lead
-	planner   *planner
-	metrics   *telemetry.Metrics
-	journal   *telemetry.Journal
-	engines   *engine.Client
-	started   time.Time
-	known     sync.Map // complete revision last heard, by node and incarnation
+	cfg           settings.Control
+	kv            *ports.KV
+	kvTraffic     telemetry.Traffic
+	view          *view.View
+	fleet         *member.Fleet
+	pool          *peer.Pool
+	leaderLease   *leaderLease
+	planner       *planner
+	metrics       *telemetry.Metrics
+	journal       *telemetry.Journal
+	engines       *engine.Client
+	startedAt     time.Time
+	nodeRevisions sync.Map // last known complete revision, by node name and incarnation
 }
 
-// New builds a process; nothing runs yet.
-func New(set settings.Control) (*Process, error) {
+// New returns a Process that has not been started.
+func New(cfg settings.Control) (*Process, error) {
 	metrics, err := telemetry.NewMetrics("crank-control")
 	if err != nil {
 		return nil, err
 	}
 	p := &Process{
-		set: set, metrics: metrics, view: view.NewWithLog(logKept), fleet: member.NewFleet(set.Node.Name, time.Now),
-		pool: peer.NewPool(set.Secrets.Peer), journal: telemetry.NewJournal(journalKept),
-		engines: engine.NewClient(time.Second, engineTimeout), started: time.Now(),
+		cfg: cfg, metrics: metrics, view: view.NewWithLog(maxViewLogEntries), fleet: member.NewFleet(cfg.Node.Name, time.Now),
+		pool: peer.NewPool(cfg.Secrets.Peer), journal: telemetry.NewJournal(maxJournalEntries),
+		engines: engine.NewClient(time.Second, engineTimeout), startedAt: time.Now(),
 	}
-	p.kv = ports.NewKV(set.KV.URL, set.KV.Timeout, p.kvTraffic.Dial(set.KV.Timeout))
-	p.lead = &lead{kv: p.kv, view: p.view, name: set.Node.Name, ttl: set.Planner.Lease}
+	p.kv = ports.NewKV(cfg.KV.URL, cfg.KV.Timeout, p.kvTraffic.Dial(cfg.KV.Timeout))
+	p.leaderLease = &leaderLease{kv: p.kv, view: p.view, name: cfg.Node.Name, ttl: cfg.Planner.LeaseTTL}
 	p.planner = &planner{
-		set: set, kv: p.kv, cloud: ports.NewCloud(set.Cloud.URL, set.Cloud.Timeout), engines: p.engines, view: p.view, lead: p.lead,
-		metrics: metrics, journal: p.journal, refused: map[plan.OfferKey]time.Time{}, states: map[string]seenState{},
+		cfg: cfg, kv: p.kv, cloud: ports.NewCloud(cfg.Cloud.URL, cfg.Cloud.Timeout), engines: p.engines, view: p.view, leaderLease: p.leaderLease,
+		metrics: metrics, journal: p.journal, refusedAt: map[plan.OfferKey]time.Time{}, engineStates: map[string]engineState{},
 	}
 	return p, nil
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done, then shuts down the listener.
 func (p *Process) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", p.set.Listen.Operators)
+	ln, err := net.Listen("tcp", p.cfg.Listen.Operators)
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: p.handler(), ReadHeaderTimeout: stopGrace}
+	srv := &http.Server{Handler: p.handler(), ReadHeaderTimeout: shutdownTimeout}
 	go func() { _ = srv.Serve(ln) }()
-	klog.InfoS("started", "node", p.set.Node.Name, "operators", p.set.Listen.Operators, "planner", !p.set.Planner.Disabled)
-	loops := []func(context.Context){func(ctx context.Context) { p.view.Follow(ctx, p.kv, view.Prefix) }, p.applyLoop}
-	if !p.set.Planner.Disabled {
-		loops = append(loops, p.lead.run, p.planner.run)
+	klog.InfoS("started", "node", p.cfg.Node.Name, "operators", p.cfg.Listen.Operators, "planner", !p.cfg.Planner.Disabled)
+	loops := []func(context.Context){func(ctx context.Context) { p.view.Follow(ctx, p.kv, view.Prefix) }, p.followView}
+	if !p.cfg.Planner.Disabled {
+		loops = append(loops, p.leaderLease.run, p.planner.run)
 	}
 	var wg sync.WaitGroup
 	for _, loop := range loops {
 		wg.Go(func() { loop(ctx) })
 	}
 	wg.Wait()
-	last, cancel := context.WithTimeout(context.Background(), stopGrace)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = srv.Shutdown(last)
-	klog.InfoS("stopped", "node", p.set.Node.Name)
+	_ = srv.Shutdown(shutdownCtx)
+	klog.InfoS("stopped", "node", p.cfg.Node.Name)
 	return nil
 }
 
-func (p *Process) applyLoop(ctx context.Context) {
+func (p *Process) followView(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := p.view.Changed()
 		p.fleet.Update(p.view)
@@ -119,51 +119,52 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(p.state())
 	})
-	operator.NewServer(operator.NewStore(p.kv, p.view), p.view, p.fleet, p.inForce, p.journal.ForSubject).Routes(r)
-	return operator.RequireToken(p.set.Secrets.Operator, r)
+	operator.NewServer(operator.NewStore(p.kv, p.view), p.view, p.fleet, p.rolloutStatus, p.journal.ForSubject).Routes(r)
+	return operator.RequireToken(p.cfg.Secrets.Operator, r)
 }
 
-// inForce asks every live node which revision it has.
-func (p *Process) inForce(ctx context.Context, version int64) operator.RolloutStatus {
-	ctx, cancel := context.WithTimeout(ctx, inForceCall)
+// rolloutStatus queries all live nodes concurrently for the revision that they
+// have applied.
+func (p *Process) rolloutStatus(ctx context.Context, version int64) operator.RolloutStatus {
+	ctx, cancel := context.WithTimeout(ctx, rolloutQueryTimeout)
 	defer cancel()
-	out := operator.RolloutStatus{Version: version}
+	status := operator.RolloutStatus{Version: version}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, n := range p.fleet.Nodes() {
-		out.Nodes++
+		status.Nodes++
 		wg.Go(func() {
-			has := p.has(ctx, n, version)
+			ok := p.hasRevision(ctx, n, version)
 			mu.Lock()
 			defer mu.Unlock()
-			if has {
-				out.Have++
+			if ok {
+				status.Have++
 			} else {
-				out.Lagging = append(out.Lagging, n.Name)
+				status.Lagging = append(status.Lagging, n.Name)
 			}
 		})
 	}
 	wg.Wait()
-	slices.Sort(out.Lagging)
-	return out
+	slices.Sort(status.Lagging)
+	return status
 }
 
-// has tells whether a version is in force on a node. A node that had it once
-// has it for good, so it is asked only until then.
-func (p *Process) has(ctx context.Context, n member.Node, version int64) bool {
-	run := n.Name + "#" + n.Incarnation
-	if known, ok := p.known.Load(run); ok && known.(int64) >= version {
+// hasRevision reports whether a node has applied version. A node's revision
+// never decreases, so a positive result is cached per incarnation.
+func (p *Process) hasRevision(ctx context.Context, n member.Node, version int64) bool {
+	instance := n.Name + "#" + n.Incarnation
+	if known, ok := p.nodeRevisions.Load(instance); ok && known.(int64) >= version {
 		return true
 	}
 	resp, err := p.pool.Client(n.Peers).Inventory(ctx, &peer.InventoryRequest{})
 	if err != nil {
 		return false
 	}
-	p.known.Store(run, resp.Complete)
+	p.nodeRevisions.Store(instance, resp.Complete)
 	return resp.Complete >= version
 }
 
-// State is the dump of a crank-control.
+// State is the response of /debug/state.
 type State struct {
 	Node             string                `json:"node"`
 	UptimeS          int64                 `json:"uptime_s"`
@@ -178,13 +179,13 @@
 	Traffic          map[string][2]int64   `json:"control_bytes"` // by channel: in, out
 }
 
-const recentShown = 50
+const maxRecentDecisions = 50
 
 func (p *Process) state() State {
 	rev, _ := p.view.Complete()
-	epoch, leading := p.lead.valid()
+	epoch, leading := p.leaderLease.currentEpoch()
 	s := State{
-		Node: p.set.Node.Name, UptimeS: int64(time.Since(p.started).Seconds()), CompleteRevision: rev, Leading: leading, Epoch: epoch, Nodes: p.fleet.Nodes(),
+		Node: p.cfg.Node.Name, UptimeS: int64(time.Since(p.startedAt).Seconds()), CompleteRevision: rev, Leading: leading, Epoch: epoch, Nodes: p.fleet.Nodes(),
 		Traffic: map[string][2]int64{
 			"kv":      {p.kvTraffic.In.Load(), p.kvTraffic.Out.Load()},
 			"engines": {p.engines.Control.In.Load(), p.engines.Control.Out.Load()},
@@ -192,9 +193,9 @@
 		},
 	}
 	p.planner.mu.Lock()
-	s.Rounds, s.Needs, s.Intents = p.planner.rounds, p.planner.last.Needs, p.planner.last.Actions.Intents
+	s.Rounds, s.Needs, s.Intents = p.planner.rounds, p.planner.lastResult.Needs, p.planner.lastResult.Actions.Intents
 	p.planner.mu.Unlock()
 	recent := p.journal.ForSubject("")
-	s.Recent = recent[max(len(recent)-recentShown, 0):]
+	s.Recent = recent[max(len(recent)-maxRecentDecisions, 0):]
 	return s
 }
--- a/src/control/planner.go
+++ b/src/control/planner.go
@@ -23,49 +23,49 @@
 )
 
 const (
-	intentsKey   = view.Prefix + "intents"
-	ordersAtOnce = 32
-	offersEvery  = 30 * time.Second
+	intentsKey            = view.Prefix + "intents"
+	maxConcurrentQueries  = 32
+	offersRefreshInterval = 30 * time.Second
 )
 
-// planner carries out plans while its process holds the lease.
+// planner computes and executes plans while this process holds the planner lease.
 type planner struct {
-	set     settings.Control
-	kv      *ports.KV
-	cloud   *ports.Cloud
-	engines *engine.Client
-	view    *view.View
-	lead    *lead
-	metrics *telemetry.Metrics
-	journal *telemetry.Journal
+	cfg         settings.Control
+	kv          *ports.KV
+	cloud       *ports.Cloud
+	engines     *engine.Client
+	view        *view.View
+	leaderLease *leaderLease
+	metrics     *telemetry.Metrics
+	journal     *telemetry.Journal
 
-	refused map[plan.OfferKey]time.Time
-	states  map[string]seenState
-	offers  []ports.Offer
-	asked   time.Time
-	rounds  int64
-	last    plan.Result
-	mu      sync.Mutex // guards rounds and last for the state dump
+	refusedAt    map[plan.OfferKey]time.Time
+	engineStates map[string]engineState
+	offers       []ports.Offer
+	offersReadAt time.Time
+	rounds       int64
+	lastResult   plan.Result
+	mu           sync.Mutex // guards rounds and lastResult, which the state dump reads
 }
 
-// seenState is an engine's last report, and when it was read.
-type seenState struct {
+// engineState is the last state read from an engine.
+type engineState struct {
 	engine.State
-	at      time.Time
-	pending bool // an order was given since
-	failed  bool
+	readAt    time.Time
+	orderSent bool // an order was sent after the read
+	failed    bool
 }
 
-// run makes one round after the other while the lease is held.
+// run executes a planning round per interval while the lease is held.
 func (p *planner) run(ctx context.Context) {
-	process.Every(ctx, p.set.Planner.Round, func() {
-		epoch, ok := p.lead.valid()
+	process.Every(ctx, p.cfg.Planner.Round, func() {
+		epoch, ok := p.leaderLease.currentEpoch()
 		if !ok {
-			clear(p.states)
+			clear(p.engineStates)
 			return
 		}
 		result := "done"
-		if err := p.round(ctx, epoch); err != nil {
+		if err := p.runRound(ctx, epoch); err != nil {
 			klog.V(1).InfoS("planner_round", "err", err)
 			result = "failed"
 		}
@@ -73,26 +73,25 @@
 	})
 }
 
-var errLost = errors.New("planner lease is no longer surely held")
+var errLeaseLost = errors.New("planner lease lost or about to expire")
 
-// still returns an error once the lease may have passed to another.
-func (p *planner) still(epoch int64) error {
-	if now, ok := p.lead.valid(); !ok || now != epoch {
-		return errLost
+// checkLease returns an error if another process may hold the lease by now.
+func (p *planner) checkLease(epoch int64) error {
+	if current, ok := p.leaderLease.currentEpoch(); !ok || current != epoch {
+		return errLeaseLost
 	}
 	return nil
 }
 
-func (p *planner) round(ctx context.Context, epoch int64) error {
+func (p *planner) runRound(ctx context.Context, epoch int64) error {
 	vms, err := p.cloud.VMs(ctx)
 	if err != nil {
 		return err
 	}
-	if err := p.readOffers(ctx); err != nil {
+	if err := p.refreshOffers(ctx); err != nil {
 		return err
 	}
-	// Intents are read afresh: an older planner may have written after this
-	// one's view was made.
+	// Read from the store: the view may lack the last write of a previous holder.
 	stored, _, _, err := p.kv.Get(ctx, intentsKey)
 	if err != nil {
 		return err
@@ -103,170 +102,172 @@
 			return err
 		}
 	}
-	p.readEngines(ctx, vms)
+	p.refreshEngines(ctx, vms)
 	snap, _ := catalog.NewSnapshot(p.view.List(catalog.ConfigPrefix))
 	in := plan.Input{
-		Catalog: snap, VMs: vms, Offers: p.offers, Engines: p.answered(), Intents: intents, Refused: p.refused, Now: time.Now(),
+		Catalog: snap, VMs: vms, Offers: p.offers, Engines: p.respondingEngines(), Intents: intents, Refused: p.refusedAt, Now: time.Now(),
 		Params: plan.Params{
-			Prefix: p.set.Planner.VMPrefix, MaxVMs: p.set.Planner.MaxServers, WeightsBytesPerSecond: p.set.Planner.WeightsRate, BootTime: p.set.Planner.Boot,
-			Margin: p.set.Planner.Margin, SpreadDomains: p.set.Planner.Spread, OnDemand: p.set.Planner.OnDemandOnly,
+			Prefix: p.cfg.Planner.VMPrefix, MaxVMs: p.cfg.Planner.MaxServers, WeightsBytesPerSecond: p.cfg.Planner.WeightsRate, BootTime: p.cfg.Planner.BootTime,
+			Margin: p.cfg.Planner.Margin, SpreadDomains: p.cfg.Planner.Spread, OnDemand: p.cfg.Planner.OnDemandOnly,
 		},
 	}
 	res := plan.Compute(in)
 	p.mu.Lock()
 	p.rounds++
-	p.last = res
+	p.lastResult = res
 	p.mu.Unlock()
-	// What is leaving is told first: it is the most urgent.
-	if err := p.publish(ctx, epoch, vms, res.Actions.Intents); err != nil {
+	// Publish before acting, so that nodes stop using leaving upstreams early.
+	if err := p.publishUpstreams(ctx, epoch, vms, res.Actions.Intents); err != nil {
 		return err
 	}
 	if err := p.storeIntents(ctx, epoch, stored, intents, res.Actions.Intents); err != nil {
 		return err
 	}
-	if err := p.act(ctx, epoch, res.Actions); err != nil {
+	if err := p.execute(ctx, epoch, res.Actions); err != nil {
 		return err
 	}
-	return p.tellEvents(ctx, epoch, in, res)
+	return p.updateEventStatuses(ctx, epoch, in, res)
 }
 
-func (p *planner) readOffers(ctx context.Context) error {
-	if p.offers != nil && time.Since(p.asked) < offersEvery {
+func (p *planner) refreshOffers(ctx context.Context) error {
+	if p.offers != nil && time.Since(p.offersReadAt) < offersRefreshInterval {
 		return nil
 	}
 	offers, err := p.cloud.Offers(ctx)
 	if err == nil {
-		p.offers, p.asked = offers, time.Now()
+		p.offers, p.offersReadAt = offers, time.Now()
 	}
 	return err
 }
 
-// readEngines asks those engines whose state may have changed: new ones, ones
-// that load something, ones that failed, and all others now and then.
-func (p *planner) readEngines(ctx context.Context, vms []ports.VM) {
-	var due []ports.VM
-	living := map[string]bool{}
+// refreshEngines queries the engines whose state may have changed (new, loading,
+// sent an order, or unreachable in the last round), and all others once per
+// planner.recheck interval.
+func (p *planner) refreshEngines(ctx context.Context, vms []ports.VM) {
+	var stale []ports.VM
+	live := map[string]bool{}
 	for _, vm := range vms {
 		if vm.Role != "engine" || vm.Address == "" || vm.State == ports.VMTerminated {
 			continue
 		}
-		living[vm.Name] = true
-		s, known := p.states[vm.Name]
-		if !known || s.pending || s.failed || len(s.Loading) > 0 || time.Since(s.at) > p.set.Planner.Recheck {
-			due = append(due, vm)
+		live[vm.Name] = true
+		s, known := p.engineStates[vm.Name]
+		if !known || s.orderSent || s.failed || len(s.Loading) > 0 || time.Since(s.readAt) > p.cfg.Planner.Recheck {
+			stale = append(stale, vm)
 		}
 	}
-	maps.DeleteFunc(p.states, func(name string, _ seenState) bool { return !living[name] })
+	maps.DeleteFunc(p.engineStates, func(name string, _ engineState) bool { return !live[name] })
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, ordersAtOnce)
-	for _, vm := range due {
+	slots := make(chan struct{}, maxConcurrentQueries)
+	for _, vm := range stale {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			st, err := p.engines.State(ctx, vm.Address, noCacheEvents)
+			st, err := p.engines.State(ctx, vm.Address, skipCacheEvents)
 			mu.Lock()
-			p.states[vm.Name] = seenState{State: st, at: time.Now(), failed: err != nil}
+			p.engineStates[vm.Name] = engineState{State: st, readAt: time.Now(), failed: err != nil}
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
 }
 
-// noCacheEvents is above any event's number, so that none is sent.
-const noCacheEvents = 1 << 62
+// skipCacheEvents is above all event sequence numbers, so that an engine returns
+// no cache events.
+const skipCacheEvents = 1 << 62
 
-func (p *planner) answered() map[string]engine.State {
-	out := map[string]engine.State{}
-	for name, s := range p.states {
+func (p *planner) respondingEngines() map[string]engine.State {
+	states := map[string]engine.State{}
+	for name, s := range p.engineStates {
 		if !s.failed {
-			out[name] = s.State
+			states[name] = s.State
 		}
 	}
-	return out
+	return states
 }
 
-func (p *planner) storeIntents(ctx context.Context, epoch int64, stored ports.Item, old, next []plan.Intent) error {
-	if slices.Equal(old, next) {
+func (p *planner) storeIntents(ctx context.Context, epoch int64, stored ports.Item, oldIntents, newIntents []plan.Intent) error {
+	if slices.Equal(oldIntents, newIntents) {
 		return nil
 	}
-	if err := p.still(epoch); err != nil {
+	if err := p.checkLease(epoch); err != nil {
 		return err
 	}
-	raw, err := json.Marshal(next)
+	raw, err := json.Marshal(newIntents)
 	if err != nil {
 		return err
 	}
 	swap, err := p.kv.PutIf(ctx, intentsKey, raw, stored.Revision, 0)
 	if err == nil && !swap.Succeeded {
-		err = errLost
+		err = errLeaseLost
 	}
 	return err
 }
 
-func (p *planner) act(ctx context.Context, epoch int64, a plan.Actions) error {
+func (p *planner) execute(ctx context.Context, epoch int64, a plan.Actions) error {
 	for _, i := range a.Buy {
 		if err := p.buy(ctx, epoch, i, a.Intents); err != nil {
 			return err
 		}
 	}
 	for _, name := range a.Terminate {
-		if err := p.still(epoch); err != nil {
+		if err := p.checkLease(epoch); err != nil {
 			return err
 		}
 		err := p.cloud.Terminate(ctx, name)
-		p.note(name, "terminate", err)
+		p.recordAction(name, "terminate", err)
 	}
 	for _, o := range a.Unload {
-		p.order(ctx, epoch, o, engine.OpUnload)
+		p.sendOrder(ctx, epoch, o, engine.OpUnload)
 	}
 	for _, o := range a.Load {
-		p.order(ctx, epoch, o, engine.OpLoad)
+		p.sendOrder(ctx, epoch, o, engine.OpLoad)
 	}
 	return nil
 }
 
-func (p *planner) buy(ctx context.Context, epoch int64, i plan.Intent, all []plan.Intent) error {
-	if err := p.still(epoch); err != nil {
+func (p *planner) buy(ctx context.Context, epoch int64, i plan.Intent, planned []plan.Intent) error {
+	if err := p.checkLease(epoch); err != nil {
 		return err
 	}
 	_, err := p.cloud.Buy(ctx, i.Name, i.Offer)
-	p.note(i.Name, "buy", err)
+	p.recordAction(i.Name, "buy", err)
 	if !errors.Is(err, ports.ErrRefused) {
 		return nil
 	}
-	p.refused[plan.OfferKeyOf(i.Offer)] = time.Now()
-	// The intent is given up, or it would count as coming for ever.
+	p.refusedAt[plan.OfferKeyOf(i.Offer)] = time.Now()
+	// Delete the intent, or the planner would count its VM as pending forever.
 	stored, _, _, err := p.kv.Get(ctx, intentsKey)
 	if err != nil {
 		return err
 	}
-	var have []plan.Intent
-	if err := json.Unmarshal(stored.Value, &have); err != nil {
+	var current []plan.Intent
+	if err := json.Unmarshal(stored.Value, &current); err != nil {
 		return err
 	}
-	have = slices.DeleteFunc(have, func(o plan.Intent) bool { return o.Name == i.Name })
-	return p.storeIntents(ctx, epoch, stored, all, have)
+	current = slices.DeleteFunc(current, func(o plan.Intent) bool { return o.Name == i.Name })
+	return p.storeIntents(ctx, epoch, stored, planned, current)
 }
 
-func (p *planner) order(ctx context.Context, epoch int64, l plan.EngineOrder, op string) {
-	if p.still(epoch) != nil {
+func (p *planner) sendOrder(ctx context.Context, epoch int64, o plan.EngineOrder, op string) {
+	if p.checkLease(epoch) != nil {
 		return
 	}
-	err := p.engines.SendOrder(ctx, l.Addr, engine.Order{Epoch: epoch, Op: op, Name: l.Model.Name, Version: l.Model.Version, Bytes: l.Bytes})
-	s := p.states[l.VM]
-	s.pending = true
-	p.states[l.VM] = s
-	p.note(l.VM, op+" "+l.Model.Name, err)
+	err := p.engines.SendOrder(ctx, o.Addr, engine.Order{Epoch: epoch, Op: op, Name: o.Model.Name, Version: o.Model.Version, Bytes: o.Bytes})
+	s := p.engineStates[o.VM]
+	s.orderSent = true
+	p.engineStates[o.VM] = s
+	p.recordAction(o.VM, op+" "+o.Model.Name, err)
 }
 
-func (p *planner) note(subject, what string, err error) {
-	why, result := "", "done"
+func (p *planner) recordAction(subject, action string, err error) {
+	reason, result := "", "done"
 	if err != nil {
-		why, result = err.Error(), "failed"
+		reason, result = err.Error(), "failed"
 	}
-	p.journal.Add(subject, what, why)
-	verb, _, _ := strings.Cut(what, " ")
+	p.journal.Add(subject, action, reason)
+	verb, _, _ := strings.Cut(action, " ")
 	p.metrics.Planner(verb, result)
-	klog.InfoS("planner_action", "subject", subject, "what", what, "err", err)
+	klog.InfoS("planner_action", "subject", subject, "what", action, "err", err)
 }
--- a/src/control/publish.go
+++ b/src/control/publish.go
@@ -18,25 +18,25 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// publish stores the upstream list of each failure domain that changed, and
-// the list of entry VMs that run no more.
-func (p *planner) publish(ctx context.Context, epoch int64, vms []ports.VM, intents []plan.Intent) error {
-	released := map[string]int64{}
+// publishUpstreams writes the upstream lists of the failure domains that changed,
+// and the list of terminated entry VMs.
+func (p *planner) publishUpstreams(ctx context.Context, epoch int64, vms []ports.VM, intents []plan.Intent) error {
+	releaseMS := map[string]int64{}
 	for _, i := range intents {
 		if i.ReleaseMS > 0 {
-			released[i.Name] = i.ReleaseMS
+			releaseMS[i.Name] = i.ReleaseMS
 		}
 	}
 	domains := map[string]*upstream.DomainUpstreams{}
 	for _, it := range p.view.List(upstream.Prefix) {
 		domains[it.Key[len(upstream.Prefix):]] = &upstream.DomainUpstreams{}
 	}
-	gone := []string{}
+	terminated := []string{}
 	for _, vm := range vms {
 		if vm.Role == "entry" && vm.State == ports.VMTerminated {
-			gone = append(gone, vm.ID)
+			terminated = append(terminated, vm.ID)
 		}
-		if pub, ok := p.published(vm, released[vm.Name]); ok {
+		if pub, ok := p.publishedUpstream(vm, releaseMS[vm.Name]); ok {
 			if domains[vm.FailureDomain] == nil {
 				domains[vm.FailureDomain] = &upstream.DomainUpstreams{}
 			}
@@ -44,20 +44,20 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(domains)) {
-		if err := p.storeIfNew(ctx, epoch, upstream.Prefix+name, domains[name].Encode()); err != nil {
+		if err := p.putIfChanged(ctx, epoch, upstream.Prefix+name, domains[name].Encode()); err != nil {
 			return err
 		}
 	}
-	raw, err := json.Marshal(gone)
-	if err != nil || len(gone) == 0 {
+	raw, err := json.Marshal(terminated)
+	if err != nil || len(terminated) == 0 {
 		return err
 	}
-	return p.storeIfNew(ctx, epoch, member.TerminatedVMsKey, raw)
+	return p.putIfChanged(ctx, epoch, member.TerminatedVMsKey, raw)
 }
 
-func (p *planner) published(vm ports.VM, released int64) (upstream.Published, bool) {
+func (p *planner) publishedUpstream(vm ports.VM, releaseMS int64) (upstream.Published, bool) {
 	pub := upstream.Published{
-		Name: vm.Name, VM: vm.ID, Addr: vm.Address, FailureDomain: vm.FailureDomain, Region: vm.Region, LeavingMS: max(vm.DeadlineMS, released),
+		Name: vm.Name, VM: vm.ID, Addr: vm.Address, FailureDomain: vm.FailureDomain, Region: vm.Region, LeavingMS: max(vm.DeadlineMS, releaseMS),
 	}
 	if vm.Address == "" || vm.State != ports.VMRunning && vm.State != ports.VMLeaving {
 		return pub, false
@@ -67,12 +67,12 @@
 		pub.Kind, pub.Service = upstream.KindService, vm.Service
 		return pub, true
 	case "engine":
-		s, ok := p.states[vm.Name]
-		pub.Kind, pub.Models, pub.Slots, pub.PrefillTPS, pub.KVTransferTPS = upstream.KindEngine, s.Models, s.Slots, s.PrefillTPS, p.set.Planner.MoveTPS
+		s, ok := p.engineStates[vm.Name]
+		pub.Kind, pub.Models, pub.Slots, pub.PrefillTPS, pub.KVTransferTPS = upstream.KindEngine, s.Models, s.Slots, s.PrefillTPS, p.cfg.Planner.KVTransferTPS
 		slices.SortFunc(pub.Models, func(a, b engine.LoadedModel) int { return strings.Compare(a.Name, b.Name) })
-		// An engine that does not answer now keeps what was published of it.
+		// An unreachable engine stays published with its last known state.
 		if !ok || s.failed && len(s.Models) == 0 {
-			return p.lastPublished(vm, pub)
+			return p.lastPublishedUpstream(vm, pub)
 		}
 		if s.LeavingMS > 0 && pub.LeavingMS == 0 {
 			pub.LeavingMS = s.LeavingMS
@@ -82,29 +82,29 @@
 	return pub, false
 }
 
-func (p *planner) lastPublished(vm ports.VM, now upstream.Published) (upstream.Published, bool) {
+func (p *planner) lastPublishedUpstream(vm ports.VM, fallback upstream.Published) (upstream.Published, bool) {
 	it, ok := p.view.Get(upstream.Prefix + vm.FailureDomain)
 	if !ok {
-		return now, false
+		return fallback, false
 	}
 	d, err := upstream.DecodeDomainUpstreams(it.Value)
 	i := slices.IndexFunc(d.Upstreams, func(u upstream.Published) bool { return u.Name == vm.Name && u.Addr == vm.Address })
 	if err != nil || i < 0 {
-		return now, false
+		return fallback, false
 	}
 	last := d.Upstreams[i]
-	last.LeavingMS = now.LeavingMS
+	last.LeavingMS = fallback.LeavingMS
 	return last, true
 }
 
-// storeIfNew writes a value that differs from what the view holds. Losing the
-// race is no error: the next round sees what won.
-func (p *planner) storeIfNew(ctx context.Context, epoch int64, key string, raw []byte) error {
+// putIfChanged writes raw if it differs from the value in the view. A lost
+// compare-and-swap is not an error: the next round reads the newer value.
+func (p *planner) putIfChanged(ctx context.Context, epoch int64, key string, raw []byte) error {
 	it, ok := p.view.Get(key)
 	if ok && string(it.Value) == string(raw) {
 		return nil
 	}
-	if err := p.still(epoch); err != nil {
+	if err := p.checkLease(epoch); err != nil {
 		return err
 	}
 	if !ok {
@@ -114,12 +114,12 @@
 	return err
 }
 
-// tellEvents stores the status of each event that changed.
-func (p *planner) tellEvents(ctx context.Context, epoch int64, in plan.Input, res plan.Result) error {
-	services := map[string]int{}
+// updateEventStatuses writes the status of each event whose status changed.
+func (p *planner) updateEventStatuses(ctx context.Context, epoch int64, in plan.Input, res plan.Result) error {
+	serversByService := map[string]int{}
 	for _, vm := range in.VMs {
 		if vm.Role == "service" && vm.State == ports.VMRunning {
-			services[vm.Service]++
+			serversByService[vm.Service]++
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(in.Catalog.Events)) {
@@ -128,7 +128,7 @@
 		if it, ok := p.view.Get(event.Prefix + name); ok {
 			old, _ = event.Decode(it.Value)
 		}
-		next, changed := event.Next(old, name, ev.Version, plan.EventFacts(ev, in, res, services))
+		next, changed := event.Next(old, name, ev.Version, plan.EventFacts(ev, in, res, serversByService))
 		if !changed {
 			continue
 		}
@@ -136,20 +136,20 @@
 			p.journal.Add(name, "phase "+string(next.Phase), strings.Join(next.Reasons, "; "))
 			klog.InfoS("event", "name", name, "phase", next.Phase, "reasons", strings.Join(next.Reasons, "; "))
 		}
-		if err := p.storeIfNew(ctx, epoch, event.Prefix+name, next.Encode()); err != nil {
+		if err := p.putIfChanged(ctx, epoch, event.Prefix+name, next.Encode()); err != nil {
 			return err
 		}
 	}
-	return p.dropStatuses(ctx, epoch, in.Catalog)
+	return p.deleteStaleStatuses(ctx, epoch, in.Catalog)
 }
 
-// dropStatuses removes the statuses of events that were deleted.
-func (p *planner) dropStatuses(ctx context.Context, epoch int64, snap *catalog.Snapshot) error {
+// deleteStaleStatuses deletes the statuses of events that no longer exist.
+func (p *planner) deleteStaleStatuses(ctx context.Context, epoch int64, snap *catalog.Snapshot) error {
 	for _, it := range p.view.List(event.Prefix) {
 		if _, ok := snap.Events[it.Key[len(event.Prefix):]]; ok {
 			continue
 		}
-		if err := p.still(epoch); err != nil {
+		if err := p.checkLease(epoch); err != nil {
 			return err
 		}
 		if _, err := p.kv.DeleteIf(ctx, it.Key, it.Revision); err != nil {
--- a/src/settings/control.go
+++ b/src/settings/control.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Control is the settings of crank-control.
+// Control holds the settings of crank-control.
 type Control struct {
 	Node    Node          `yaml:"node"`
 	Listen  ControlListen `yaml:"listen"`
@@ -12,64 +12,64 @@
 	Planner Planner       `yaml:"planner"`
 }
 
-// ControlListen is where crank-control listens.
+// ControlListen holds the listen addresses of crank-control.
 type ControlListen struct {
 	Operators string `yaml:"operators"`
 }
 
-// Planner sets the planner's loop.
+// Planner holds the settings of the planner.
 type Planner struct {
-	Disabled    bool          `yaml:"disabled"`
-	Lease       time.Duration `yaml:"lease"`
-	Round       time.Duration `yaml:"round"`
-	WeightsRate float64       `yaml:"weights_bytes_per_second"`
-	Margin      time.Duration `yaml:"margin"`
-	Boot        time.Duration `yaml:"boot"`
-	Recheck     time.Duration `yaml:"recheck"`
-	MoveTPS     float64       `yaml:"move_tokens_per_second"`
-	MaxServers  int           `yaml:"most_servers"`
-	VMPrefix    string        `yaml:"vm_prefix"`
-	// Spread false places without regard to failure domains, for measuring.
+	Disabled      bool          `yaml:"disabled"`
+	LeaseTTL      time.Duration `yaml:"lease"`
+	Round         time.Duration `yaml:"round"`
+	WeightsRate   float64       `yaml:"weights_bytes_per_second"`
+	Margin        time.Duration `yaml:"margin"`
+	BootTime      time.Duration `yaml:"boot"`
+	Recheck       time.Duration `yaml:"recheck"`
+	KVTransferTPS float64       `yaml:"move_tokens_per_second"`
+	MaxServers    int           `yaml:"most_servers"`
+	VMPrefix      string        `yaml:"vm_prefix"`
+	// Spread false disables spreading over failure domains, for measurements only.
 	Spread       bool `yaml:"spread"`
 	OnDemandOnly bool `yaml:"on_demand_only"`
 }
 
-// DefaultControl is what holds where the file is silent.
+// DefaultControl returns the values of fields that are not in the file.
 func DefaultControl() Control {
 	return Control{
 		KV:    Service{Timeout: 2 * time.Second},
 		Cloud: Service{Timeout: 2 * time.Second},
-		Planner: Planner{Lease: 10 * time.Second, Round: time.Second, WeightsRate: 1e9, Margin: 30 * time.Second,
-			Boot: time.Minute, Recheck: 30 * time.Second, MoveTPS: 50000, MaxServers: 1000, VMPrefix: "cr", Spread: true},
+		Planner: Planner{LeaseTTL: 10 * time.Second, Round: time.Second, WeightsRate: 1e9, Margin: 30 * time.Second,
+			BootTime: time.Minute, Recheck: 30 * time.Second, KVTransferTPS: 50000, MaxServers: 1000, VMPrefix: "cr", Spread: true},
 	}
 }
 
-// LoadControl reads and checks a settings file of crank-control.
+// LoadControl reads and validates a settings file of crank-control.
 func LoadControl(path string) (Control, error) {
-	c := DefaultControl()
-	return c, load(path, &c)
+	cfg := DefaultControl()
+	return cfg, load(path, &cfg)
 }
 
-func (c *Control) check() error {
-	var p problems
-	p.needText("node.name", c.Node.Name)
-	p.needAddr("listen.operators", c.Listen.Operators)
-	p.needURL("kv.url", c.KV.URL)
-	p.needTime("kv.timeout", c.KV.Timeout, 10*time.Millisecond, time.Minute)
+func (c *Control) validate() error {
+	var errs fieldErrors
+	errs.requireText("node.name", c.Node.Name)
+	errs.requireAddr("listen.operators", c.Listen.Operators)
+	errs.requireURL("kv.url", c.KV.URL)
+	errs.requireDuration("kv.timeout", c.KV.Timeout, 10*time.Millisecond, time.Minute)
 	if !c.Planner.Disabled {
-		p.needURL("cloud.url", c.Cloud.URL)
+		errs.requireURL("cloud.url", c.Cloud.URL)
 	}
-	p.needText("secrets.peer", c.Secrets.Peer)
-	p.needText("secrets.operator", c.Secrets.Operator)
-	p.needTime("planner.lease", c.Planner.Lease, 2*time.Second, 10*time.Minute)
-	p.needTime("planner.round", c.Planner.Round, 50*time.Millisecond, c.Planner.Lease/2)
-	p.needTime("planner.margin", c.Planner.Margin, 0, 24*time.Hour)
-	p.needTime("planner.boot", c.Planner.Boot, 0, time.Hour)
-	p.needTime("planner.recheck", c.Planner.Recheck, 50*time.Millisecond, time.Hour)
-	p.needRange("planner.most_servers", c.Planner.MaxServers, 0, 100_000)
-	p.needText("planner.vm_prefix", c.Planner.VMPrefix)
-	if c.Planner.WeightsRate <= 0 || c.Planner.MoveTPS < 0 {
-		p.add("planner", "needs weights_bytes_per_second above 0 and move_tokens_per_second not below 0")
+	errs.requireText("secrets.peer", c.Secrets.Peer)
+	errs.requireText("secrets.operator", c.Secrets.Operator)
+	errs.requireDuration("planner.lease", c.Planner.LeaseTTL, 2*time.Second, 10*time.Minute)
+	errs.requireDuration("planner.round", c.Planner.Round, 50*time.Millisecond, c.Planner.LeaseTTL/2)
+	errs.requireDuration("planner.margin", c.Planner.Margin, 0, 24*time.Hour)
+	errs.requireDuration("planner.boot", c.Planner.BootTime, 0, time.Hour)
+	errs.requireDuration("planner.recheck", c.Planner.Recheck, 50*time.Millisecond, time.Hour)
+	errs.requireInt("planner.most_servers", c.Planner.MaxServers, 0, 100_000)
+	errs.requireText("planner.vm_prefix", c.Planner.VMPrefix)
+	if c.Planner.WeightsRate <= 0 || c.Planner.KVTransferTPS < 0 {
+		errs.add("planner", "needs weights_bytes_per_second above 0 and move_tokens_per_second of at least 0")
 	}
-	return p.err()
+	return errs.join()
 }
--- a/src/settings/entry.go
+++ b/src/settings/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Node names a process's place.
+// Node identifies a process and its location.
 type Node struct {
 	Name          string `yaml:"name"`
 	VM            string `yaml:"vm"`
@@ -10,26 +10,26 @@
 	Region        string `yaml:"region"`
 }
 
-// Listeners are addresses, host:port, one for each kind of client.
+// Listeners holds one host:port address for each kind of client.
 type Listeners struct {
 	Callers   string `yaml:"callers"`
 	Peers     string `yaml:"peers"`
 	Operators string `yaml:"operators"`
 }
 
-// Service is where a platform service is found.
+// Service holds the URL and request timeout of a platform service.
 type Service struct {
 	URL     string        `yaml:"url"`
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// Secrets guard the peers' and operators' listeners.
+// Secrets holds the credentials required on the peers' and operators' listeners.
 type Secrets struct {
 	Peer     string `yaml:"peer"`
 	Operator string `yaml:"operator"`
 }
 
-// Entry is the settings of crank-entry.
+// Entry holds the settings of crank-entry.
 type Entry struct {
 	Node      Node      `yaml:"node"`
 	Listen    Listeners `yaml:"listen"`
@@ -46,7 +46,7 @@
 	Retries   Retries   `yaml:"retries"`
 }
 
-// Limits bound what callers can make a node hold.
+// Limits bounds the resources that callers can occupy on a node.
 type Limits struct {
 	BodyBytes    int           `yaml:"body_bytes"`
 	HeaderBytes  int           `yaml:"header_bytes"`
@@ -61,7 +61,7 @@
 	Orphan       time.Duration `yaml:"orphan"`
 }
 
-// Claims sets how requests marked not repeatable are kept to one run.
+// Claims configures how requests marked not repeatable are run at most once.
 type Claims struct {
 	Shards     int           `yaml:"shards"`
 	Window     time.Duration `yaml:"window"`
@@ -72,7 +72,7 @@
 	Suspect    time.Duration `yaml:"suspect"`
 }
 
-// Routing sets how upstreams are followed and chosen.
+// Routing configures how upstreams are monitored and selected.
 type Routing struct {
 	Policy    string        `yaml:"policy"`
 	Subset    int           `yaml:"subset"`
@@ -81,25 +81,25 @@
 	Overshoot float64       `yaml:"overshoot"`
 }
 
-// Exchange sets the talk between nodes.
+// Exchange configures the state exchange between nodes.
 type Exchange struct {
 	Interval time.Duration `yaml:"interval"`
 	Lease    time.Duration `yaml:"lease"`
 }
 
-// Stop sets a planned stop.
+// Stop configures graceful shutdown.
 type Stop struct {
 	TTL   time.Duration `yaml:"ttl"`
 	Grace time.Duration `yaml:"grace"`
 }
 
-// Retries bound what a node sends more than once.
+// Retries configures a node's retry budget.
 type Retries struct {
 	Fraction float64 `yaml:"fraction"`
 	Burst    float64 `yaml:"burst"`
 }
 
-// DefaultEntry is what holds where the file is silent.
+// DefaultEntry returns the values of fields that are not in the file.
 func DefaultEntry() Entry {
 	return Entry{
 		KV:    Service{Timeout: 2 * time.Second},
@@ -117,91 +117,91 @@
 	}
 }
 
-// LoadEntry reads and checks a settings file of crank-entry.
+// LoadEntry reads and validates a settings file of crank-entry.
 func LoadEntry(path string) (Entry, error) {
-	e := DefaultEntry()
-	err := load(path, &e)
-	e.Advertise = e.Advertise.orElse(e.Listen)
-	return e, err
+	cfg := DefaultEntry()
+	err := load(path, &cfg)
+	cfg.Advertise = cfg.Advertise.withDefaults(cfg.Listen)
+	return cfg, err
 }
 
-func (l Listeners) orElse(d Listeners) Listeners {
+func (l Listeners) withDefaults(defaults Listeners) Listeners {
 	if l.Callers == "" {
-		l.Callers = d.Callers
+		l.Callers = defaults.Callers
 	}
 	if l.Peers == "" {
-		l.Peers = d.Peers
+		l.Peers = defaults.Peers
 	}
 	if l.Operators == "" {
-		l.Operators = d.Operators
+		l.Operators = defaults.Operators
 	}
 	return l
 }
 
-func (e *Entry) check() error {
-	var p problems
-	p.needText("node.name", e.Node.Name)
-	p.needText("node.failure_domain", e.Node.FailureDomain)
-	p.needAddr("listen.callers", e.Listen.Callers)
-	p.needAddr("listen.peers", e.Listen.Peers)
-	p.needAddr("listen.operators", e.Listen.Operators)
-	p.needURL("kv.url", e.KV.URL)
-	p.needTime("kv.timeout", e.KV.Timeout, 10*time.Millisecond, time.Minute)
+func (e *Entry) validate() error {
+	var errs fieldErrors
+	errs.requireText("node.name", e.Node.Name)
+	errs.requireText("node.failure_domain", e.Node.FailureDomain)
+	errs.requireAddr("listen.callers", e.Listen.Callers)
+	errs.requireAddr("listen.peers", e.Listen.Peers)
+	errs.requireAddr("listen.operators", e.Listen.Operators)
+	errs.requireURL("kv.url", e.KV.URL)
+	errs.requireDuration("kv.timeout", e.KV.Timeout, 10*time.Millisecond, time.Minute)
 	if e.Cloud.URL != "" {
-		p.needURL("cloud.url", e.Cloud.URL)
+		errs.requireURL("cloud.url", e.Cloud.URL)
 	}
-	p.needText("secrets.peer", e.Secrets.Peer)
-	p.needText("secrets.operator", e.Secrets.Operator)
+	errs.requireText("secrets.peer", e.Secrets.Peer)
+	errs.requireText("secrets.operator", e.Secrets.Operator)
 	for _, a := range e.Peers {
-		p.needAddr("peers", a)
+		errs.requireAddr("peers", a)
 	}
-	e.Limits.check(&p)
-	e.Claims.check(&p, e.Limits)
-	e.Routing.check(&p)
-	p.needTime("exchange.interval", e.Exchange.Interval, 50*time.Millisecond, time.Minute)
-	p.needTime("exchange.lease", e.Exchange.Lease, time.Second, time.Hour)
-	p.needTime("stop.ttl", e.Stop.TTL, 0, time.Hour)
-	p.needTime("stop.grace", e.Stop.Grace, 0, time.Hour)
+	e.Limits.validate(&errs)
+	e.Claims.validate(&errs, e.Limits)
+	e.Routing.validate(&errs)
+	errs.requireDuration("exchange.interval", e.Exchange.Interval, 50*time.Millisecond, time.Minute)
+	errs.requireDuration("exchange.lease", e.Exchange.Lease, time.Second, time.Hour)
+	errs.requireDuration("stop.ttl", e.Stop.TTL, 0, time.Hour)
+	errs.requireDuration("stop.grace", e.Stop.Grace, 0, time.Hour)
 	if e.Retries.Fraction < 0 || e.Retries.Fraction > 1 || e.Retries.Burst < 0 {
-		p.add("retries", "needs a fraction of 0 to 1 and a burst not below 0")
+		errs.add("retries", "needs a fraction from 0 to 1 and a burst of at least 0")
 	}
-	return p.err()
-}
-
-func (l Limits) check(p *problems) {
-	p.needRange("limits.body_bytes", l.BodyBytes, 1<<10, 64<<20)
-	p.needRange("limits.header_bytes", l.HeaderBytes, 4<<10, 1<<20)
-	p.needRange("limits.answer_bytes", l.AnswerBytes, 1<<10, 64<<20)
-	p.needRange("limits.queue_entries", l.QueueEntries, 0, 1_000_000)
-	p.needRange("limits.queue_bytes", l.QueueBytes, 0, 4<<30)
-	p.needRange("limits.flights", l.Flights, 1, 1_000_000)
-	p.needTime("limits.deadline", l.Deadline, 100*time.Millisecond, l.MaxDeadline)
-	p.needTime("limits.deadline_most", l.MaxDeadline, 100*time.Millisecond, time.Hour)
-	p.needTime("limits.first_token", l.FirstToken, 10*time.Millisecond, 10*time.Minute)
-	p.needTime("limits.write_stall", l.WriteStall, 100*time.Millisecond, 10*time.Minute)
-	p.needTime("limits.orphan", l.Orphan, 100*time.Millisecond, 10*time.Minute)
-}
-
-func (c Claims) check(p *problems, l Limits) {
-	p.needRange("claims.shards", c.Shards, 1, 4096)
-	// A record must outlive the request it guards.
-	p.needTime("claims.window", c.Window, 2*l.MaxDeadline, 24*time.Hour)
-	p.needTime("claims.timeout", c.Timeout, 10*time.Millisecond, 30*time.Second)
-	p.needTime("claims.suspect", c.Suspect, 100*time.Millisecond, 10*time.Minute)
-	p.needRange("claims.records", c.Records, 1, 10_000_000)
-	p.needRange("claims.kept_bytes", c.KeptBytes, 0, 16<<20)
-}
-
-func (r Routing) check(p *problems) {
+	return errs.join()
+}
+
+func (l Limits) validate(errs *fieldErrors) {
+	errs.requireInt("limits.body_bytes", l.BodyBytes, 1<<10, 64<<20)
+	errs.requireInt("limits.header_bytes", l.HeaderBytes, 4<<10, 1<<20)
+	errs.requireInt("limits.answer_bytes", l.AnswerBytes, 1<<10, 64<<20)
+	errs.requireInt("limits.queue_entries", l.QueueEntries, 0, 1_000_000)
+	errs.requireInt("limits.queue_bytes", l.QueueBytes, 0, 4<<30)
+	errs.requireInt("limits.flights", l.Flights, 1, 1_000_000)
+	errs.requireDuration("limits.deadline", l.Deadline, 100*time.Millisecond, l.MaxDeadline)
+	errs.requireDuration("limits.deadline_most", l.MaxDeadline, 100*time.Millisecond, time.Hour)
+	errs.requireDuration("limits.first_token", l.FirstToken, 10*time.Millisecond, 10*time.Minute)
+	errs.requireDuration("limits.write_stall", l.WriteStall, 100*time.Millisecond, 10*time.Minute)
+	errs.requireDuration("limits.orphan", l.Orphan, 100*time.Millisecond, 10*time.Minute)
+}
+
+func (c Claims) validate(errs *fieldErrors, l Limits) {
+	errs.requireInt("claims.shards", c.Shards, 1, 4096)
+	// Records must outlive the requests that they deduplicate.
+	errs.requireDuration("claims.window", c.Window, 2*l.MaxDeadline, 24*time.Hour)
+	errs.requireDuration("claims.timeout", c.Timeout, 10*time.Millisecond, 30*time.Second)
+	errs.requireDuration("claims.suspect", c.Suspect, 100*time.Millisecond, 10*time.Minute)
+	errs.requireInt("claims.records", c.Records, 1, 10_000_000)
+	errs.requireInt("claims.kept_bytes", c.KeptBytes, 0, 16<<20)
+}
+
+func (r Routing) validate(errs *fieldErrors) {
 	switch r.Policy {
 	case "estimate", "random", "round-robin", "least-outstanding", "two-choices":
 	default:
-		p.add("routing.policy", "must be estimate, random, round-robin, least-outstanding or two-choices; got %q", r.Policy)
+		errs.add("routing.policy", "must be estimate, random, round-robin, least-outstanding or two-choices; got %q", r.Policy)
 	}
-	p.needRange("routing.subset", r.Subset, 0, 100_000)
-	p.needTime("routing.report", r.Report, 50*time.Millisecond, 10*time.Minute)
-	p.needTime("routing.stall", r.Stall, 50*time.Millisecond, 10*time.Minute)
+	errs.requireInt("routing.subset", r.Subset, 0, 100_000)
+	errs.requireDuration("routing.report", r.Report, 50*time.Millisecond, 10*time.Minute)
+	errs.requireDuration("routing.stall", r.Stall, 50*time.Millisecond, 10*time.Minute)
 	if r.Overshoot < 1 || r.Overshoot > 100 {
-		p.add("routing.overshoot", "must be 1 to 100; got %g", r.Overshoot)
+		errs.add("routing.overshoot", "must be 1 to 100; got %g", r.Overshoot)
 	}
 }
--- a/src/settings/load.go
+++ b/src/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of each binary: one YAML file,
-// checked strictly. docs/SETTINGS.md documents every field.
+// Package settings loads and validates the YAML settings file of each binary.
+// docs/SETTINGS.md documents all fields.
 package settings
 
 import (
@@ -16,98 +16,99 @@
 	"github.com/samber/oops"
 )
 
-// ErrInvalid is the base of every error in a settings file.
+// ErrInvalid is wrapped by all errors of this package.
 var ErrInvalid = errors.New("invalid settings")
 
-// checked is what every binary's settings can do.
-type checked interface{ check() error }
+// validator is implemented by the settings of each binary.
+type validator interface{ validate() error }
 
-// load decodes path over the defaults in into. Unknown fields, duplicate keys
-// and values of the wrong type are errors that name file, line and column.
-func load(path string, into checked) error {
+// load decodes path into cfg, which holds the defaults, and validates the result.
+// Errors for unknown fields, duplicate keys and values of the wrong type name
+// file, line and column.
+func load(path string, cfg validator) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return oops.Wrapf(errors.Join(ErrInvalid, err), "read settings")
 	}
-	dec := yaml.NewDecoder(bytes.NewReader(raw), yaml.Strict(), yaml.CustomUnmarshaler(readDuration))
-	err = dec.Decode(into)
-	var wrong wrongDuration
-	if errors.As(err, &wrong) {
-		return oops.Wrapf(ErrInvalid, "%s: %s", path, wrong.at(string(raw)))
+	dec := yaml.NewDecoder(bytes.NewReader(raw), yaml.Strict(), yaml.CustomUnmarshaler(parseDuration))
+	err = dec.Decode(cfg)
+	var durErr durationError
+	if errors.As(err, &durErr) {
+		return oops.Wrapf(ErrInvalid, "%s: %s", path, durErr.locate(string(raw)))
 	}
 	if err != nil {
 		return oops.Wrapf(ErrInvalid, "%s: %s", path, yaml.FormatError(err, false, true))
 	}
-	if err := into.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return oops.Wrapf(err, "%s", path)
 	}
 	return nil
 }
 
-// wrongDuration is a text that is no duration. The library does not say where
-// it stands, so it is looked for in the file.
-type wrongDuration struct{ text string }
+// durationError reports text that is not a duration. The YAML library does not
+// pass the position to unmarshalers, so locate searches the file for the text.
+type durationError struct{ text string }
 
-func (w wrongDuration) Error() string { return "wrong duration " + w.text }
+func (e durationError) Error() string { return "invalid duration " + e.text }
 
-func (w wrongDuration) at(file string) string {
+func (e durationError) locate(file string) string {
 	for i, line := range strings.Split(file, "\n") {
-		if col := strings.Index(line, w.text); col >= 0 {
-			return fmt.Sprintf("[%d:%d] %q is not a duration; give a number with its unit, such as 500ms, 30s or 5m\n>  %d | %s\n", i+1, col+1, w.text, i+1, line)
+		if col := strings.Index(line, e.text); col >= 0 {
+			return fmt.Sprintf("[%d:%d] %q is not a duration; give a number with its unit, such as 500ms, 30s or 5m\n>  %d | %s\n", i+1, col+1, e.text, i+1, line)
 		}
 	}
-	return w.Error()
+	return e.Error()
 }
 
-func readDuration(d *time.Duration, raw []byte) (err error) {
+func parseDuration(d *time.Duration, raw []byte) (err error) {
 	text := strings.Trim(string(raw), " \n\"'")
 	if *d, err = time.ParseDuration(text); err != nil {
-		return wrongDuration{text}
+		return durationError{text}
 	}
 	return nil
 }
 
-// problems gathers what is wrong, so that one run of --check shows all of it.
-type problems struct{ list []error }
+// fieldErrors collects validation errors, so that one run reports all of them.
+type fieldErrors struct{ errs []error }
 
-func (p *problems) add(field, format string, args ...any) {
-	p.list = append(p.list, fmt.Errorf("%s %s", field, fmt.Sprintf(format, args...)))
+func (e *fieldErrors) add(field, format string, args ...any) {
+	e.errs = append(e.errs, fmt.Errorf("%s %s", field, fmt.Sprintf(format, args...)))
 }
 
-func (p *problems) needText(field, value string) {
+func (e *fieldErrors) requireText(field, value string) {
 	if value == "" {
-		p.add(field, "is missing")
+		e.add(field, "is missing")
 	}
 }
 
-func (p *problems) needAddr(field, value string) {
+func (e *fieldErrors) requireAddr(field, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		p.add(field, "must be host:port, such as 10.0.0.1:7000; got %q", value)
+		e.add(field, "must be host:port, such as 10.0.0.1:7000; got %q", value)
 	}
 }
 
-func (p *problems) needURL(field, value string) {
+func (e *fieldErrors) requireURL(field, value string) {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		p.add(field, "must be a URL such as http://10.0.0.1:2379; got %q", value)
+		e.add(field, "must be a URL such as http://10.0.0.1:2379; got %q", value)
 	}
 }
 
-func (p *problems) needTime(field string, value, least, most time.Duration) {
-	if value < least || value > most {
-		p.add(field, "must be from %s to %s; got %s", least, most, value)
+func (e *fieldErrors) requireDuration(field string, value, minimum, maximum time.Duration) {
+	if value < minimum || value > maximum {
+		e.add(field, "must be from %s to %s; got %s", minimum, maximum, value)
 	}
 }
 
-func (p *problems) needRange(field string, value, least, most int) {
-	if value < least || value > most {
-		p.add(field, "must be from %d to %d; got %d", least, most, value)
+func (e *fieldErrors) requireInt(field string, value, minimum, maximum int) {
+	if value < minimum || value > maximum {
+		e.add(field, "must be from %d to %d; got %d", minimum, maximum, value)
 	}
 }
 
-func (p *problems) err() error {
-	if len(p.list) == 0 {
+func (e *fieldErrors) join() error {
+	if len(e.errs) == 0 {
 		return nil
 	}
-	return oops.Wrap(errors.Join(append([]error{ErrInvalid}, p.list...)...))
+	return oops.Wrap(errors.Join(append([]error{ErrInvalid}, e.errs...)...))
 }
--- a/src/settings/standin.go
+++ b/src/settings/standin.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Standin is the settings of crank-standin: which fakes run in the process.
-// It is for tests and the demo only.
+// Standin holds the settings of crank-standin, which runs fake services for tests
+// and the demo. Services that are not configured do not run.
 type Standin struct {
 	KV       *StandinKV       `yaml:"kv"`
 	Cloud    *StandinCloud    `yaml:"cloud"`
@@ -12,18 +12,18 @@
 	Services []StandinService `yaml:"services"`
 }
 
-// StandinKV is the key-value service.
+// StandinKV configures the key-value service.
 type StandinKV struct {
 	Listen string `yaml:"listen"`
 }
 
-// StandinWeights is the weight store.
+// StandinWeights configures the store of model weights.
 type StandinWeights struct {
 	Listen string  `yaml:"listen"`
 	Rate   float64 `yaml:"bytes_per_second"`
 }
 
-// StandinCloud is the cloud API with its VM list.
+// StandinCloud configures the cloud API.
 type StandinCloud struct {
 	Listen  string         `yaml:"listen"`
 	VMs     []StandinVM    `yaml:"vms"`
@@ -32,7 +32,7 @@
 	Weights string         `yaml:"weights"`
 }
 
-// StandinVM is a VM that runs from the start.
+// StandinVM is a VM that is running at startup.
 type StandinVM struct {
 	Name          string  `yaml:"name"`
 	FailureDomain string  `yaml:"failure_domain"`
@@ -45,7 +45,7 @@
 	HourPrice     float64 `yaml:"hour_price"`
 }
 
-// StandinOffer is what can be bought.
+// StandinOffer is a VM offer of the cloud API.
 type StandinOffer struct {
 	Class         string        `yaml:"class"`
 	FailureDomain string        `yaml:"failure_domain"`
@@ -56,7 +56,8 @@
 	Boot          time.Duration `yaml:"boot"`
 }
 
-// StandinShape is how fast and how large an engine is; 0 takes the default.
+// StandinShape configures the speed and capacity of an engine; 0 selects the
+// default.
 type StandinShape struct {
 	Slots       int     `yaml:"slots"`
 	PrefillTPS  float64 `yaml:"prefill_tps"`
@@ -67,7 +68,7 @@
 	LagMS       int     `yaml:"lag_ms"`
 }
 
-// StandinEngine is a model engine.
+// StandinEngine configures a model engine.
 type StandinEngine struct {
 	Name    string       `yaml:"name"`
 	Listen  string       `yaml:"listen"`
@@ -77,43 +78,43 @@
 	Shape   StandinShape `yaml:"shape"`
 }
 
-// StandinService is a plain service.
+// StandinService configures a plain service.
 type StandinService struct {
 	Name          string `yaml:"name"`
 	Listen        string `yaml:"listen"`
 	ChecksFencing bool   `yaml:"checks_fencing"`
 }
 
-// LoadStandin reads and checks a settings file of crank-standin.
+// LoadStandin reads and validates a settings file of crank-standin.
 func LoadStandin(path string) (Standin, error) {
-	var s Standin
-	return s, load(path, &s)
+	var cfg Standin
+	return cfg, load(path, &cfg)
 }
 
-func (s *Standin) check() error {
-	var p problems
+func (s *Standin) validate() error {
+	var errs fieldErrors
 	if s.KV != nil {
-		p.needAddr("kv.listen", s.KV.Listen)
+		errs.requireAddr("kv.listen", s.KV.Listen)
 	}
 	if s.Cloud != nil {
-		p.needAddr("cloud.listen", s.Cloud.Listen)
+		errs.requireAddr("cloud.listen", s.Cloud.Listen)
 	}
 	if s.Weights != nil {
-		p.needAddr("weights.listen", s.Weights.Listen)
+		errs.requireAddr("weights.listen", s.Weights.Listen)
 		if s.Weights.Rate <= 0 {
-			p.add("weights.bytes_per_second", "must be above 0")
+			errs.add("weights.bytes_per_second", "must be above 0")
 		}
 	}
 	for _, e := range s.Engines {
-		p.needText("engines.name", e.Name)
-		p.needAddr("engines.listen", e.Listen)
+		errs.requireText("engines.name", e.Name)
+		errs.requireAddr("engines.listen", e.Listen)
 	}
 	for _, v := range s.Services {
-		p.needText("services.name", v.Name)
-		p.needAddr("services.listen", v.Listen)
+		errs.requireText("services.name", v.Name)
+		errs.requireAddr("services.listen", v.Listen)
 	}
 	if s.KV == nil && s.Cloud == nil && s.Weights == nil && len(s.Engines)+len(s.Services) == 0 {
-		p.add("kv, cloud, weights, engines, services:", "at least one must be given")
+		errs.add("kv, cloud, weights, engines, services:", "at least one must be given")
 	}
-	return p.err()
+	return errs.join()
 }
