--- a/src/openai/openai.go
+++ b/src/openai/openai.go
@@ -1,21 +1,21 @@
-// Package openai declares the parts of the published OpenAI HTTP API that the
-// system reads and writes. Fields it does not know pass through untouched.
+// Package openai declares the types of the OpenAI HTTP API that crankridge reads
+// and writes. Unknown request fields are passed through to the engine unchanged.
 package openai
 
 import "encoding/json"
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// StreamOptions asks for usage at the end of a stream.
+// StreamOptions holds the stream_options of a request.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a request.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -23,13 +23,13 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how much of the prompt came from a prefix cache.
+// PromptDetails breaks down the prompt tokens of a request.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Choice is one alternative; a stream fills Delta or Text, a whole answer
-// Message or Text.
+// Choice is one completion alternative. Stream chunks set Delta or Text,
+// non-streaming responses Message or Text.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Delta   `json:"delta,omitempty"`
@@ -38,13 +38,13 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Delta is what a chunk adds to a chat message.
+// Delta is the part of a chat message that a stream chunk carries.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Answer is a whole answer or one chunk of a stream.
+// Answer is a non-streaming response or one chunk of a stream.
 type Answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -54,12 +54,12 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// ErrorBody is the shape of every error.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Error says what went wrong.
+// Error describes a failed request.
 type Error struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -67,13 +67,13 @@
 	Code    string  `json:"code"`
 }
 
-// ModelList answers GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// Model is one row of a ModelList.
+// Model is one entry of a ModelList.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -81,8 +81,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// Request is a chat or text completion: the fields the system acts on, and
-// all fields as they came.
+// Request is a chat or text completion request. Fields holds all fields of the
+// body as received; the others are decoded from it.
 type Request struct {
 	Chat         bool
 	Model        string
@@ -95,10 +95,10 @@
 	Fields       map[string]json.RawMessage
 }
 
-// Done is the data of the event that ends a stream.
+// Done is the data of the last event of a stream.
 const Done = "[DONE]"
 
-// Object names.
+// Values of the object field.
 const (
 	ObjectChat      = "chat.completion"
 	ObjectChatChunk = "chat.completion.chunk"
--- a/src/openai/request.go
+++ b/src/openai/request.go
@@ -8,16 +8,16 @@
 	"github.com/samber/oops"
 )
 
-// ErrBadRequest is the base of every error that is the caller's to mend.
+// ErrBadRequest is wrapped by all errors of an invalid request.
 var ErrBadRequest = errors.New("bad request")
 
-// DefaultMaxTokens bounds an answer whose request names no bound.
+// DefaultMaxTokens is the completion limit of a request without max_tokens.
 const DefaultMaxTokens = 512
 
-type known struct {
+type requestFields struct {
 	Model         string          `json:"model"`
 	Prompt        json.RawMessage `json:"prompt"`
-	Messages      []wireMessage   `json:"messages"`
+	Messages      []rawMessage    `json:"messages"`
 	Stream        bool            `json:"stream"`
 	StreamOptions *StreamOptions  `json:"stream_options"`
 	MaxTokens     *int            `json:"max_tokens"`
@@ -26,59 +26,61 @@
 	N             *int            `json:"n"`
 }
 
-type wireMessage struct {
+type rawMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// Parse reads a request body; chat tells which of the two forms it has.
+// Parse decodes and validates the body of a chat completion or, if chat is
+// false, of a text completion.
 func Parse(body []byte, chat bool) (Request, error) {
-	var k known
-	if err := json.Unmarshal(body, &k); err != nil {
-		return Request{}, invalid("the body is not valid JSON for this call: %v", err)
+	var fields requestFields
+	if err := json.Unmarshal(body, &fields); err != nil {
+		return Request{}, badRequest("the body is not valid JSON for this call: %v", err)
 	}
-	req := Request{Chat: chat, Model: k.Model, Stream: k.Stream, Temperature: k.Temperature, MaxTokens: DefaultMaxTokens}
-	req.IncludeUsage = k.StreamOptions != nil && k.StreamOptions.IncludeUsage
+	req := Request{Chat: chat, Model: fields.Model, Stream: fields.Stream, Temperature: fields.Temperature, MaxTokens: DefaultMaxTokens}
+	req.IncludeUsage = fields.StreamOptions != nil && fields.StreamOptions.IncludeUsage
 	if err := json.Unmarshal(body, &req.Fields); err != nil {
-		return Request{}, invalid("the body is not a JSON object: %v", err)
+		return Request{}, badRequest("the body is not a JSON object: %v", err)
 	}
-	for _, limit := range []*int{k.MaxTokens, k.MaxCompletion} {
+	for _, limit := range []*int{fields.MaxTokens, fields.MaxCompletion} {
 		if limit != nil {
 			req.MaxTokens = *limit
 		}
 	}
 	switch {
-	case k.Model == "":
-		return Request{}, invalid("model is missing")
+	case fields.Model == "":
+		return Request{}, badRequest("model is missing")
 	case req.MaxTokens < 1:
-		return Request{}, invalid("max_tokens must be at least 1")
-	case k.N != nil && *k.N != 1:
-		return Request{}, invalid("n must be 1")
+		return Request{}, badRequest("max_tokens must be at least 1")
+	case fields.N != nil && *fields.N != 1:
+		return Request{}, badRequest("n must be 1")
 	}
-	return req, req.readPrompt(k)
+	return req, req.readPrompt(fields)
 }
 
-func (r *Request) readPrompt(k known) error {
+func (r *Request) readPrompt(fields requestFields) error {
 	if !r.Chat {
-		if json.Unmarshal(k.Prompt, &r.Prompt) != nil || r.Prompt == "" {
-			return invalid("prompt must be a string that is not empty")
+		if json.Unmarshal(fields.Prompt, &r.Prompt) != nil || r.Prompt == "" {
+			return badRequest("prompt must be a string that is not empty")
 		}
 		return nil
 	}
-	if len(k.Messages) == 0 {
-		return invalid("messages must not be empty")
+	if len(fields.Messages) == 0 {
+		return badRequest("messages must not be empty")
 	}
-	for i, m := range k.Messages {
+	for i, m := range fields.Messages {
 		text, ok := contentText(m.Content)
 		if m.Role == "" || !ok {
-			return invalid("messages[%d] needs a role and a content of text", i)
+			return badRequest("messages[%d] needs a role and a content of text", i)
 		}
 		r.Messages = append(r.Messages, Message{Role: m.Role, Content: text})
 	}
 	return nil
 }
 
-// contentText takes a string or a list of text parts.
+// contentText returns the text of a message's content, which is a string or a
+// list of text parts.
 func contentText(raw json.RawMessage) (string, bool) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
@@ -101,7 +103,7 @@
 	return b.String(), true
 }
 
-// Text is the prompt as one string, by which prefixes are compared.
+// PromptText returns the prompt as one string, for comparing prefixes.
 func (r *Request) PromptText() string {
 	if !r.Chat {
 		return r.Prompt
@@ -117,38 +119,39 @@
 	return b.String()
 }
 
-// Body builds the request for an engine: streamed, with usage, continuing
-// after the text already given, for the tokens still owed. seed makes the
-// answer the same at every engine that honours it.
-func (r *Request) EngineBody(given string, givenTokens, priority int, seed int64) []byte {
-	out := make(map[string]any, len(r.Fields)+8)
+// EngineBody returns the request body to send to an engine. The engine streams
+// with usage, continues after the generated text and is asked for the remaining
+// tokens only. seed, used unless the request sets its own, makes the output the
+// same on every engine that supports it.
+func (r *Request) EngineBody(generated string, generatedTokens, priority int, seed int64) []byte {
+	body := make(map[string]any, len(r.Fields)+8)
 	for name, raw := range r.Fields {
-		out[name] = raw
-	}
-	delete(out, "max_completion_tokens")
-	out["stream"] = true
-	out["stream_options"] = StreamOptions{IncludeUsage: true}
-	out["max_tokens"] = r.MaxTokens - givenTokens
-	out["priority"] = priority
-	if _, ok := out["seed"]; !ok {
-		out["seed"] = seed
-	}
-	if given != "" && r.Chat {
-		turns := append([]Message{}, r.Messages...)
-		out["messages"] = append(turns, Message{Role: "assistant", Content: given})
-		out["continue_final_message"] = true
-		out["add_generation_prompt"] = false
-	}
-	if given != "" && !r.Chat {
-		out["prompt"] = r.Prompt + given
-	}
-	raw, err := json.Marshal(out)
+		body[name] = raw
+	}
+	delete(body, "max_completion_tokens")
+	body["stream"] = true
+	body["stream_options"] = StreamOptions{IncludeUsage: true}
+	body["max_tokens"] = r.MaxTokens - generatedTokens
+	body["priority"] = priority
+	if _, ok := body["seed"]; !ok {
+		body["seed"] = seed
+	}
+	if generated != "" && r.Chat {
+		messages := append([]Message{}, r.Messages...)
+		body["messages"] = append(messages, Message{Role: "assistant", Content: generated})
+		body["continue_final_message"] = true
+		body["add_generation_prompt"] = false
+	}
+	if generated != "" && !r.Chat {
+		body["prompt"] = r.Prompt + generated
+	}
+	raw, err := json.Marshal(body)
 	if err != nil {
-		panic("a request made of parsed JSON cannot be encoded: " + err.Error())
+		panic("encode engine request: " + err.Error())
 	}
 	return raw
 }
 
-func invalid(format string, args ...any) error {
+func badRequest(format string, args ...any) error {
 	return oops.Wrapf(ErrBadRequest, format, args...)
 }
