--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -17,82 +17,83 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// CloudFaults are the ways in which the cloud can fail.
+// CloudFaults are the faults that the cloud simulates.
 type CloudFaults struct {
-	Refuse        []string `json:"refuse"` // failure domains, or "reclaimable", or "all"
-	LagMS         int      `json:"lag_ms"` // age of the VM list
-	DropResponses int      `json:"lose_answers"`
+	Refuse        []string `json:"refuse"`       // offers refused: failure domains, "reclaimable" or "all"
+	LagMS         int      `json:"lag_ms"`       // age of the VM list served
+	DropResponses int      `json:"lose_answers"` // number of creations to perform without a response
 	Down          bool     `json:"down"`
 }
 
-// Cloud sells VMs. A bought VM runs a model engine inside this process; VMs
-// declared at the start may be anything.
+// Cloud simulates a cloud provider's API. A created VM runs a model engine inside
+// this process; the VMs passed to NewCloud are only listed.
 type Cloud struct {
-	mu      sync.Mutex
-	vms     map[string]*cloudVM
-	offers  []ports.Offer
-	faults  CloudFaults
-	shape   EngineShape
-	weights string
-	past    []cloudList
-	bought  int
-	hours   float64 // price-hours of VMs that are gone
+	mu             sync.Mutex
+	vms            map[string]*cloudVM
+	offers         []ports.Offer
+	faults         CloudFaults
+	shape          EngineShape
+	weights        string
+	snapshots      []vmSnapshot // recent VM lists, for the lag fault
+	createdVMs     int
+	terminatedCost float64 // cost of terminated VMs
 }
 
 type cloudVM struct {
 	ports.VM
-	since  time.Time
-	engine *Engine
-	server *http.Server
+	created time.Time
+	engine  *Engine
+	server  *http.Server
 }
 
-type cloudList struct {
-	at   time.Time
-	list []ports.VM
+type vmSnapshot struct {
+	time time.Time
+	vms  []ports.VM
 }
 
 const (
-	cloudTick = 100 * time.Millisecond
-	listKept  = 15 * time.Second
+	cloudTickInterval = 100 * time.Millisecond
+	listRetention     = 15 * time.Second
 )
 
-// NewCloud returns a cloud with the given VMs already running.
+// NewCloud returns a cloud in which the given VMs are already running. weights is
+// the address of the weight store that the engines of created VMs load from.
 func NewCloud(vms []ports.VM, offers []ports.Offer, shape EngineShape, weights string) *Cloud {
 	c := &Cloud{vms: map[string]*cloudVM{}, offers: offers, shape: shape, weights: weights}
 	for _, vm := range vms {
 		vm.State = ports.VMRunning
-		c.vms[vm.Name] = &cloudVM{VM: vm, since: time.Now()}
+		c.vms[vm.Name] = &cloudVM{VM: vm, created: time.Now()}
 	}
 	go c.run()
 	return c
 }
 
-// Handler serves the cloud API, the metadata service and the admin calls.
+// Handler serves the cloud API, the metadata service and the admin API.
 func (c *Cloud) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/vms", c.serveList).Methods(http.MethodGet)
 	r.HandleFunc("/v1/offers", c.serveOffers).Methods(http.MethodGet)
-	r.HandleFunc("/v1/vms/{name}", c.serveBuy).Methods(http.MethodPut)
+	r.HandleFunc("/v1/vms/{name}", c.serveCreate).Methods(http.MethodPut)
 	r.HandleFunc("/v1/vms/{name}", c.serveTerminate).Methods(http.MethodDelete)
 	r.HandleFunc("/metadata/{id}/notice", c.serveNotice)
-	r.HandleFunc("/admin/faults", c.setFaults)
+	r.HandleFunc("/admin/faults", c.serveFaults)
 	r.HandleFunc("/admin/reclaim", c.serveReclaim)
 	r.HandleFunc("/admin/cost", c.serveCost)
 	return r
 }
 
 func (c *Cloud) run() {
-	for range time.Tick(cloudTick) {
+	for range time.Tick(cloudTickInterval) {
 		c.mu.Lock()
 		now := time.Now()
 		for _, vm := range c.vms {
 			if vm.State == ports.VMLeaving && now.UnixMilli() >= vm.DeadlineMS {
-				c.end(vm)
+				c.terminate(vm)
 			}
 		}
-		c.past = append(c.past, cloudList{at: now, list: c.list()})
-		for len(c.past) > 1 && now.Sub(c.past[0].at) > listKept {
-			c.past = c.past[1:]
+		c.snapshots = append(c.snapshots, vmSnapshot{time: now, vms: c.list()})
+		for len(c.snapshots) > 1 && now.Sub(c.snapshots[0].time) > listRetention {
+			c.snapshots = c.snapshots[1:]
 		}
 		c.mu.Unlock()
 	}
@@ -106,12 +107,12 @@
 	return out
 }
 
-func (c *Cloud) end(vm *cloudVM) {
+func (c *Cloud) terminate(vm *cloudVM) {
 	if vm.State == ports.VMTerminated {
 		return
 	}
 	vm.State = ports.VMTerminated
-	c.hours += time.Since(vm.since).Hours() * vm.HourPrice
+	c.terminatedCost += time.Since(vm.created).Hours() * vm.HourPrice
 	if vm.engine != nil {
 		vm.engine.Stop()
 		_ = vm.server.Close()
@@ -126,9 +127,9 @@
 	}
 	out := c.list()
 	if lag := time.Duration(c.faults.LagMS) * time.Millisecond; lag > 0 {
-		for _, p := range c.past {
-			if time.Since(p.at) >= lag {
-				out = slices.Clone(p.list)
+		for _, p := range c.snapshots {
+			if time.Since(p.time) >= lag {
+				out = slices.Clone(p.vms)
 			}
 		}
 	}
@@ -148,7 +149,7 @@
 	writeJSON(w, http.StatusOK, c.offers)
 }
 
-func (c *Cloud) serveBuy(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) serveCreate(w http.ResponseWriter, r *http.Request) {
 	var o ports.Offer
 	if !readJSON(w, r, &o) {
 		return
@@ -159,13 +160,13 @@
 	if c.faults.Down {
 		panic(http.ErrAbortHandler)
 	}
-	vm, have := c.vms[name]
-	if !have {
-		if c.refuses(o) {
+	vm, exists := c.vms[name]
+	if !exists {
+		if c.refusesOffer(o) {
 			http.Error(w, "no capacity", http.StatusConflict)
 			return
 		}
-		vm = c.boot(name, o)
+		vm = c.create(name, o)
 	}
 	if c.faults.DropResponses > 0 {
 		c.faults.DropResponses--
@@ -174,7 +175,7 @@
 	writeJSON(w, http.StatusOK, vm.VM)
 }
 
-func (c *Cloud) refuses(o ports.Offer) bool {
+func (c *Cloud) refusesOffer(o ports.Offer) bool {
 	for _, f := range c.faults.Refuse {
 		if f == "all" || f == o.FailureDomain || (f == "reclaimable" && o.Reclaimable) {
 			return true
@@ -183,18 +184,18 @@
 	return false
 }
 
-func (c *Cloud) boot(name string, o ports.Offer) *cloudVM {
-	c.bought++
-	vm := &cloudVM{since: time.Now(), VM: ports.VM{
-		ID: fmt.Sprintf("vm-%d", c.bought), Name: name, Class: o.Class, FailureDomain: o.FailureDomain,
+func (c *Cloud) create(name string, o ports.Offer) *cloudVM {
+	c.createdVMs++
+	vm := &cloudVM{created: time.Now(), VM: ports.VM{
+		ID: fmt.Sprintf("vm-%d", c.createdVMs), Name: name, Class: o.Class, FailureDomain: o.FailureDomain,
 		Region: o.Region, Reclaimable: o.Reclaimable, State: ports.VMBooting, Role: "engine", HourPrice: o.HourPrice,
 	}}
 	c.vms[name] = vm
-	time.AfterFunc(time.Duration(o.BootMS)*time.Millisecond, func() { c.start(vm) })
+	time.AfterFunc(time.Duration(o.BootMS)*time.Millisecond, func() { c.startEngine(vm) })
 	return vm
 }
 
-func (c *Cloud) start(vm *cloudVM) {
+func (c *Cloud) startEngine(vm *cloudVM) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +213,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if vm := c.vms[mux.Vars(r)["name"]]; vm != nil {
-		c.end(vm)
+		c.terminate(vm)
 	}
 }
 
@@ -228,8 +229,8 @@
 	writeJSON(w, http.StatusOK, ports.VM{})
 }
 
-// Reclaim names what the cloud takes back: one VM, or a failure domain's
-// reclaimable VMs of a role.
+// ReclaimRequest selects the VMs to reclaim: the one named, or the reclaimable
+// VMs of a failure domain and role.
 type ReclaimRequest struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure_domain"`
@@ -238,40 +239,40 @@
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
-	var q ReclaimRequest
-	if !readJSON(w, r, &q) {
+	var req ReclaimRequest
+	if !readJSON(w, r, &req) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	deadline := time.Now().UnixMilli() + q.NoticeMS
-	taken := 0
+	deadline := time.Now().UnixMilli() + req.NoticeMS
+	reclaimed := 0
 	for _, vm := range c.vms {
-		wave := q.Name == "" && vm.FailureDomain == q.FailureDomain && vm.Reclaimable && (q.Role == "" || q.Role == vm.Role)
-		if vm.State == ports.VMTerminated || vm.State == ports.VMLeaving || !(wave || vm.Name == q.Name) {
+		inDomain := req.Name == "" && vm.FailureDomain == req.FailureDomain && vm.Reclaimable && (req.Role == "" || req.Role == vm.Role)
+		if vm.State == ports.VMTerminated || vm.State == ports.VMLeaving || !(inDomain || vm.Name == req.Name) {
 			continue
 		}
 		vm.State = ports.VMLeaving
 		vm.DeadlineMS = deadline
-		taken++
-		c.tell(vm)
+		reclaimed++
+		c.notifyEngine(vm)
 	}
-	writeJSON(w, http.StatusOK, map[string]int{"taken": taken})
+	writeJSON(w, http.StatusOK, map[string]int{"taken": reclaimed})
 }
 
-// tell lets the engine on the VM know that it is leaving.
-func (c *Cloud) tell(vm *cloudVM) {
+// notifyEngine tells the engine on the VM when the VM will be reclaimed.
+func (c *Cloud) notifyEngine(vm *cloudVM) {
 	switch {
 	case vm.engine != nil:
 		vm.engine.Leave(vm.DeadlineMS)
 	case vm.Role == "engine":
 		go func(addr string, at int64) {
-			_ = post("http://"+addr+"/admin/leave", map[string]int64{"deadline_ms": at})
+			_ = postJSON("http://"+addr+"/admin/leave", map[string]int64{"deadline_ms": at})
 		}(vm.Address, vm.DeadlineMS)
 	}
 }
 
-func (c *Cloud) setFaults(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f CloudFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -281,21 +282,21 @@
 	c.mu.Unlock()
 }
 
-// CloudCost tells what was spent.
+// CloudCost is the cost of all VMs so far.
 type CloudCost struct {
-	Bought  int     `json:"bought"`
-	Price   float64 `json:"price"` // in the currency of the offers' hour price
-	Running int     `json:"living"`
+	Bought  int     `json:"bought"` // VMs created through the API
+	Price   float64 `json:"price"`  // in the currency of the offers' hour price
+	Running int     `json:"living"` // VMs that are not terminated
 }
 
 func (c *Cloud) serveCost(w http.ResponseWriter, _ *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := CloudCost{Bought: c.bought, Price: c.hours}
+	out := CloudCost{Bought: c.createdVMs, Price: c.terminatedCost}
 	for _, vm := range c.vms {
 		if vm.State != ports.VMTerminated {
 			out.Running++
-			out.Price += time.Since(vm.since).Hours() * vm.HourPrice
+			out.Price += time.Since(vm.created).Hours() * vm.HourPrice
 		}
 	}
 	writeJSON(w, http.StatusOK, out)
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -13,93 +13,93 @@
 	"github.com/crankridge/crankridge/src/openai"
 )
 
-// EngineShape is how fast and how large a model engine is.
+// EngineShape is the speed and size of a simulated model engine.
 type EngineShape struct {
-	Slots       int     `json:"slots"`        // streams decoded together
-	PrefillTPS  float64 `json:"prefill_tps"`  // prompt tokens a second, all streams together
-	StepMS      float64 `json:"step_ms"`      // time of a decode step with one stream
-	StepPerSeq  float64 `json:"step_per_seq"` // ms added by each further stream
-	CacheBlocks int     `json:"cache_blocks"`
-	MoveTPS     float64 `json:"move_tps"` // KV cache moved, tokens a second
-	LagMS       int     `json:"lag_ms"`   // age of the load report
+	Slots       int     `json:"slots"`        // maximum batch size
+	PrefillTPS  float64 `json:"prefill_tps"`  // prompt tokens per second, all streams together
+	StepMS      float64 `json:"step_ms"`      // duration of a decode step with one stream
+	StepPerSeq  float64 `json:"step_per_seq"` // ms that each further stream adds to a step
+	CacheBlocks int     `json:"cache_blocks"` // capacity of the prefix cache
+	MoveTPS     float64 `json:"move_tps"`     // KV cache transfer rate, tokens per second
+	LagMS       int     `json:"lag_ms"`       // age of the load report
 }
 
-// DefaultShape is used for what is not set.
+// DefaultEngineShape replaces the unset fields of an EngineShape.
 var DefaultEngineShape = EngineShape{Slots: 32, PrefillTPS: 8000, StepMS: 10, StepPerSeq: 0.1, CacheBlocks: 4096, MoveTPS: 50000, LagMS: 200}
 
-// EngineFaults are the ways in which an engine can fail.
+// EngineFaults are the faults that an engine simulates.
 type EngineFaults struct {
-	Hang                  bool    `json:"hang"`        // accepts, makes no progress
-	DisconnectAfterTokens int     `json:"cut_after"`   // breaks each connection after so many tokens; 0 for never
-	Slow                  float64 `json:"slow"`        // factor on every time; 0 means 1
-	DropCacheEvents       float64 `json:"lose_events"` // share of cache events never reported
+	Hang                  bool    `json:"hang"`        // accept requests without making progress
+	DisconnectAfterTokens int     `json:"cut_after"`   // close each connection after this many tokens; 0 for never
+	Slow                  float64 `json:"slow"`        // factor on prefill and decode times; 0 means 1
+	DropCacheEvents       float64 `json:"lose_events"` // fraction of cache events never reported
 }
 
 const (
-	orphanLife = 30 * time.Second
-	eventsKept = 512
+	orphanTimeout  = 30 * time.Second
+	maxCacheEvents = 512
 )
 
-// Engine is a model engine. The next token depends on all text before it, as
-// with a real model sampled greedily, so a continued answer can be compared
-// with an undisturbed one.
+// Engine simulates a model engine. Each token is a function of all text before it,
+// as with greedy sampling, so tests can compare a resumed completion with an
+// uninterrupted one.
 type Engine struct {
-	mu        sync.Mutex
-	name      string
-	shape     EngineShape
-	faults    EngineFaults
-	weights   string
-	models    map[string]engine.LoadedModel
-	loading   map[string]bool
-	waiting   []*stream
-	running   []*stream
-	streams   map[string]*stream
-	cache     map[uint64]int64
-	cacheUse  int64
-	events    []engine.CacheEvent
-	eventSeq  int64
-	reports   []engine.State
-	leavingMS int64
-	epoch     int64
-	order     int64
-	wake      chan struct{}
-	stopped   chan struct{}
-	totals    EngineTotals
+	mu           sync.Mutex
+	name         string
+	shape        EngineShape
+	faults       EngineFaults
+	weights      string
+	models       map[string]engine.LoadedModel
+	loading      map[string]bool
+	waiting      []*stream
+	running      []*stream
+	streams      map[string]*stream
+	cache        map[uint64]int64 // prefix block to cacheClock of its last use
+	cacheClock   int64
+	events       []engine.CacheEvent
+	lastEventSeq int64
+	stateHistory []engine.State
+	leavingMS    int64
+	epoch        int64
+	lastArrival  int64
+	wake         chan struct{}
+	stopped      chan struct{}
+	totals       EngineTotals
 }
 
-// EngineTotals count what the engine has done since it started.
+// EngineTotals are counts since the engine started.
 type EngineTotals struct {
 	Prefilled int64 `json:"prefilled"` // prompt tokens computed
-	Cached    int64 `json:"cached"`    // prompt tokens found in the cache
-	Decoded   int64 `json:"decoded"`
-	Streams   int64 `json:"streams"`
+	Cached    int64 `json:"cached"`    // prompt tokens found in the prefix cache
+	Decoded   int64 `json:"decoded"`   // tokens generated
+	Streams   int64 `json:"streams"`   // requests accepted
 }
 
 type stream struct {
-	id        string
-	chat      bool
-	model     string
-	priority  int
-	order     int64
-	text      string
-	hash      *xxhash.Digest
-	prompt    int
-	cached    int
-	left      int // prompt tokens still to prefill
-	limit     int
-	tokens    []string
-	done      bool
-	canceled  bool
-	changed   chan struct{}
-	readerOff time.Time
-	readers   int
+	id             string
+	chat           bool
+	model          string
+	priority       int
+	arrivalSeq     int64
+	text           string
+	hash           *xxhash.Digest
+	promptTokens   int
+	cachedTokens   int
+	pendingPrefill int // prompt tokens still to prefill
+	maxTokens      int
+	tokens         []string
+	done           bool
+	canceled       bool
+	changed        chan struct{}
+	readersChanged time.Time // when a reader last came or went
+	readers        int
 }
 
-// NewEngine starts an engine that holds the given models. weights is the
-// address of the weight store, "" when orders load at once.
+// NewEngine starts an engine with the given models loaded. weights is the address
+// of the weight store; if it is empty, further models load instantly.
 func NewEngine(name string, shape EngineShape, weights string, models ...engine.LoadedModel) *Engine {
 	e := &Engine{
-		name: name, shape: shape.filled(), weights: weights,
+		name: name, shape: shape.withDefaults(), weights: weights,
 		models: map[string]engine.LoadedModel{}, loading: map[string]bool{},
 		streams: map[string]*stream{}, cache: map[uint64]int64{},
 		wake: make(chan struct{}, 1), stopped: make(chan struct{}),
@@ -111,7 +111,7 @@
 	return e
 }
 
-func (s EngineShape) filled() EngineShape {
+func (s EngineShape) withDefaults() EngineShape {
 	d := DefaultEngineShape
 	if s.Slots > 0 {
 		d.Slots = s.Slots
@@ -137,18 +137,18 @@
 	return d
 }
 
-// Stop ends the engine as a VM that is gone.
+// Stop halts the engine and breaks its streams, as when its VM is terminated.
 func (e *Engine) Stop() { close(e.stopped) }
 
-// Leave makes the engine say that it is leaving; the deadline is Unix ms.
+// Leave makes the engine announce that its VM goes away at the deadline, in Unix ms.
 func (e *Engine) Leave(deadlineMS int64) {
 	e.mu.Lock()
 	e.leavingMS = deadlineMS
 	e.mu.Unlock()
 }
 
-// run is the batching loop: each round admits, prefills, and decodes one token
-// of every stream that is past its prefill.
+// run is the continuous batching loop. Each step admits waiting streams, prefills
+// prompts and decodes one token of every stream that has finished its prefill.
 func (e *Engine) run() {
 	last := time.Now()
 	for {
@@ -156,9 +156,9 @@
 		busy := len(e.waiting)+len(e.running) > 0 && !e.faults.Hang
 		var pause time.Duration
 		if busy {
-			pause = e.round()
+			pause = e.step()
 		}
-		e.report()
+		e.recordState()
 		e.mu.Unlock()
 		if !busy {
 			select {
@@ -170,7 +170,7 @@
 			last = time.Now()
 			continue
 		}
-		// Aim at the time the round should end, so that sleeps do not add up.
+		// Sleep until the scheduled end of the step, so that oversleeping does not accumulate.
 		last = last.Add(pause)
 		if late := time.Since(last); late > pause {
 			last = time.Now()
@@ -183,33 +183,33 @@
 	}
 }
 
-func (e *Engine) round() time.Duration {
+func (e *Engine) step() time.Duration {
 	e.admit()
-	slow := max(e.faults.Slow, 1)
-	step := (e.shape.StepMS + e.shape.StepPerSeq*float64(len(e.running)-1)) * slow
-	budget := int(e.shape.PrefillTPS * step / 1000 / slow)
-	var kept []*stream
+	slowdown := max(e.faults.Slow, 1)
+	step := (e.shape.StepMS + e.shape.StepPerSeq*float64(len(e.running)-1)) * slowdown
+	budget := int(e.shape.PrefillTPS * step / 1000 / slowdown)
+	var running []*stream
 	for _, s := range e.running {
-		if s.left > 0 && !s.canceled {
-			used := min(s.left, max(budget, 1))
-			budget -= used
-			s.left -= used
-			e.totals.Prefilled += int64(used)
-			if s.left == 0 {
-				e.store(engine.Blocks(s.text))
+		if s.pendingPrefill > 0 && !s.canceled {
+			tokens := min(s.pendingPrefill, max(budget, 1))
+			budget -= tokens
+			s.pendingPrefill -= tokens
+			e.totals.Prefilled += int64(tokens)
+			if s.pendingPrefill == 0 {
+				e.insertCacheBlocks(engine.Blocks(s.text))
 			}
 		} else if !s.canceled {
-			s.next()
+			s.decodeToken()
 			e.totals.Decoded++
 		}
 		if !s.done && !s.canceled {
-			kept = append(kept, s)
+			running = append(running, s)
 		} else {
 			s.notify()
 		}
 	}
-	e.running = kept
-	e.dropOrphans()
+	e.running = running
+	e.cancelOrphans()
 	return time.Duration(step * float64(time.Millisecond))
 }
 
@@ -218,7 +218,7 @@
 		if a.priority != b.priority {
 			return b.priority - a.priority
 		}
-		return int(a.order - b.order)
+		return int(a.arrivalSeq - b.arrivalSeq)
 	})
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Slots {
 		s := e.waiting[0]
@@ -226,106 +226,108 @@
 		if s.canceled {
 			continue
 		}
-		s.cached = min(e.cachedTokens(s.text), s.prompt-1)
-		s.left = s.prompt - s.cached
-		e.totals.Cached += int64(s.cached)
+		s.cachedTokens = min(e.cachedPrefixTokens(s.text), s.promptTokens-1)
+		s.pendingPrefill = s.promptTokens - s.cachedTokens
+		e.totals.Cached += int64(s.cachedTokens)
 		e.running = append(e.running, s)
 	}
 }
 
-func (e *Engine) dropOrphans() {
+func (e *Engine) cancelOrphans() {
 	for id, s := range e.streams {
-		if s.readers == 0 && !s.readerOff.IsZero() && time.Since(s.readerOff) > orphanLife {
+		if s.readers == 0 && !s.readersChanged.IsZero() && time.Since(s.readersChanged) > orphanTimeout {
 			s.canceled = true
 			delete(e.streams, id)
 		}
 	}
 }
 
-// cachedTokens is the length of the longest prefix whose blocks are held.
-func (e *Engine) cachedTokens(text string) int {
-	held := 0
+// cachedPrefixTokens returns the number of tokens in the longest cached prefix of text.
+func (e *Engine) cachedPrefixTokens(text string) int {
+	blocks := 0
 	for _, b := range engine.Blocks(text) {
 		if _, ok := e.cache[b]; !ok {
 			break
 		}
-		e.cacheUse++
-		e.cache[b] = e.cacheUse
-		held++
+		e.cacheClock++
+		e.cache[b] = e.cacheClock
+		blocks++
 	}
-	return countTokens(text[:min(len(text), held*blockBytes)])
+	return countTokens(text[:min(len(text), blocks*blockBytes)])
 }
 
+// blockBytes must equal the block size of engine.Blocks.
 const blockBytes = 256
 
-func (e *Engine) store(blocks []uint64) {
+func (e *Engine) insertCacheBlocks(blocks []uint64) {
 	for _, b := range blocks {
 		if _, ok := e.cache[b]; !ok {
-			e.emit(engine.CacheEvent{Block: b})
+			e.emitCacheEvent(engine.CacheEvent{Block: b})
 		}
-		e.cacheUse++
-		e.cache[b] = e.cacheUse
+		e.cacheClock++
+		e.cache[b] = e.cacheClock
 	}
 	for len(e.cache) > e.shape.CacheBlocks {
 		var oldest uint64
-		use := e.cacheUse + 1
-		for b, u := range e.cache {
-			if u < use {
-				oldest, use = b, u
+		lastUsed := e.cacheClock + 1
+		for b, used := range e.cache {
+			if used < lastUsed {
+				oldest, lastUsed = b, used
 			}
 		}
 		delete(e.cache, oldest)
-		e.emit(engine.CacheEvent{Block: oldest, Evicted: true})
+		e.emitCacheEvent(engine.CacheEvent{Block: oldest, Evicted: true})
 	}
 }
 
-func (e *Engine) emit(ev engine.CacheEvent) {
-	e.eventSeq++
-	ev.Seq = e.eventSeq
-	lost := float64(xxhash.Sum64String(e.name+string(rune(ev.Seq)))%1000)/1000 < e.faults.DropCacheEvents
-	if !lost {
+func (e *Engine) emitCacheEvent(ev engine.CacheEvent) {
+	e.lastEventSeq++
+	ev.Seq = e.lastEventSeq
+	dropped := float64(xxhash.Sum64String(e.name+string(rune(ev.Seq)))%1000)/1000 < e.faults.DropCacheEvents
+	if !dropped {
 		e.events = append(e.events, ev)
 	}
-	if len(e.events) > eventsKept {
-		e.events = e.events[len(e.events)-eventsKept:]
+	if len(e.events) > maxCacheEvents {
+		e.events = e.events[len(e.events)-maxCacheEvents:]
 	}
 }
 
-// report keeps past readings, so that the one shown can lag.
-func (e *Engine) report() {
-	now := e.reading()
-	e.reports = append(e.reports, now)
+// recordState appends the current state to the history and drops the states that
+// are older than needed to report the one of LagMS ago.
+func (e *Engine) recordState() {
+	now := e.currentState()
+	e.stateHistory = append(e.stateHistory, now)
 	lag := int64(e.shape.LagMS)
-	for len(e.reports) > 1 && e.reports[1].AtMS <= now.AtMS-lag {
-		e.reports = e.reports[1:]
+	for len(e.stateHistory) > 1 && e.stateHistory[1].AtMS <= now.AtMS-lag {
+		e.stateHistory = e.stateHistory[1:]
 	}
 }
 
-func (e *Engine) reading() engine.State {
+func (e *Engine) currentState() engine.State {
 	st := engine.State{
 		Name: e.name, AtMS: time.Now().UnixMilli(), Running: len(e.running), Waiting: len(e.waiting),
 		Slots: e.shape.Slots, PrefillTPS: e.shape.PrefillTPS,
 		StepMS: e.shape.StepMS + e.shape.StepPerSeq*float64(max(len(e.running)-1, 0)),
 	}
 	for _, s := range e.running {
-		st.QueuedTokens += s.left
+		st.QueuedTokens += s.pendingPrefill
 	}
 	for _, s := range e.waiting {
-		st.QueuedTokens += s.prompt
+		st.QueuedTokens += s.promptTokens
 	}
 	return st
 }
 
-func (e *Engine) lagged() engine.State {
-	if len(e.reports) == 0 {
-		return e.reading()
+func (e *Engine) reportedState() engine.State {
+	if len(e.stateHistory) == 0 {
+		return e.currentState()
 	}
-	return e.reports[0]
+	return e.stateHistory[0]
 }
 
-func (e *Engine) add(s *stream) {
-	e.order++
-	s.order = e.order
+func (e *Engine) enqueue(s *stream) {
+	e.lastArrival++
+	s.arrivalSeq = e.lastArrival
 	e.totals.Streams++
 	e.streams[s.id] = s
 	e.waiting = append(e.waiting, s)
@@ -335,21 +337,21 @@
 	}
 }
 
-func newStream(id string, req openai.Request, given string, priority int) *stream {
-	s := &stream{id: id, chat: req.Chat, model: req.Model, priority: priority, limit: req.MaxTokens, changed: make(chan struct{})}
-	s.text = req.PromptText() + given
+func newStream(id string, req openai.Request, generated string, priority int) *stream {
+	s := &stream{id: id, chat: req.Chat, model: req.Model, priority: priority, maxTokens: req.MaxTokens, changed: make(chan struct{})}
+	s.text = req.PromptText() + generated
 	s.hash = xxhash.New()
 	_, _ = s.hash.WriteString(req.Model + "\x00" + s.text)
-	s.prompt = max(countTokens(s.text), 1)
+	s.promptTokens = max(countTokens(s.text), 1)
 	return s
 }
 
-// next adds the token that follows from all text so far.
-func (s *stream) next() {
+// decodeToken appends the next token, which the hash of all text so far selects.
+func (s *stream) decodeToken() {
 	word := " " + vocabulary[s.hash.Sum64()%uint64(len(vocabulary))]
 	_, _ = s.hash.WriteString(word)
 	s.tokens = append(s.tokens, word)
-	s.done = len(s.tokens) >= s.limit
+	s.done = len(s.tokens) >= s.maxTokens
 	s.notify()
 }
 
@@ -361,7 +363,7 @@
 func countTokens(text string) int { return len(strings.Fields(text)) }
 
 var vocabulary = strings.Fields(`gravel climb ridge valley bridge descent gentle steep left right north south
-river forest mile summit corner wind shade pavement loose narrow wide slow careful water rest view meadow
+river forest mile summit corner wind shade pavement loose narrow wide slowdown careful water rest view meadow
 creek pass saddle fork trail road town cafe start finish rider group pace gear brake turn hold keep watch for the a
 and then after before at on`)
 
@@ -372,7 +374,7 @@
 	return e.totals
 }
 
-func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f EngineFaults
 	if !readJSON(w, r, &f) {
 		return
--- a/src/standin/enginehttp.go
+++ b/src/standin/enginehttp.go
@@ -16,30 +16,30 @@
 	"github.com/crankridge/crankridge/src/openai"
 )
 
-// Handler serves the engine's API and its admin calls.
+// Handler serves the engine's API and the admin API.
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/chat/completions", func(w http.ResponseWriter, q *http.Request) { e.serveOpen(w, q, true) })
-	r.HandleFunc("/v1/completions", func(w http.ResponseWriter, q *http.Request) { e.serveOpen(w, q, false) })
+	r.HandleFunc("/v1/chat/completions", func(w http.ResponseWriter, q *http.Request) { e.serveCompletion(w, q, true) })
+	r.HandleFunc("/v1/completions", func(w http.ResponseWriter, q *http.Request) { e.serveCompletion(w, q, false) })
 	r.HandleFunc("/v1/streams/{id}", e.serveResume).Methods(http.MethodGet)
 	r.HandleFunc("/v1/streams/{id}", e.serveCancel).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/state", e.serveState)
 	r.HandleFunc("/v1/orders", e.serveOrder)
 	r.HandleFunc("/v1/kv/import", e.serveImport)
 	r.HandleFunc("/v1/kv/export/{id}", e.serveExport)
-	r.HandleFunc("/admin/faults", e.setFaults)
+	r.HandleFunc("/admin/faults", e.serveFaults)
 	r.HandleFunc("/admin/leave", e.serveLeave)
 	r.HandleFunc("/admin/totals", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Totals()) })
 	return r
 }
 
-type engineBody struct {
-	Priority int `json:"priority"`
-	// Continue says that the last message is the beginning of the answer.
-	Continue bool `json:"continue_final_message"`
+// engineParams are request fields that engines support beyond the OpenAI API.
+type engineParams struct {
+	Priority int  `json:"priority"`
+	Continue bool `json:"continue_final_message"` // the last message is the beginning of the completion
 }
 
-func (e *Engine) serveOpen(w http.ResponseWriter, r *http.Request, chat bool) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBody))
 	if err != nil {
 		return
@@ -49,11 +49,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var more engineBody
-	_ = json.Unmarshal(body, &more)
-	given := ""
-	if more.Continue && len(req.Messages) > 0 {
-		given = req.Messages[len(req.Messages)-1].Content
+	var params engineParams
+	_ = json.Unmarshal(body, &params)
+	generated := ""
+	if params.Continue && len(req.Messages) > 0 {
+		generated = req.Messages[len(req.Messages)-1].Content
 		req.Messages = req.Messages[:len(req.Messages)-1]
 	}
 	id := r.Header.Get(engine.HeaderRequestID)
@@ -61,17 +61,17 @@
 		id = uuid.NewString()
 	}
 	e.mu.Lock()
-	_, has := e.models[req.Model]
-	s := newStream(id, req, given, more.Priority)
-	if has {
-		e.add(s)
+	_, loaded := e.models[req.Model]
+	s := newStream(id, req, generated, params.Priority)
+	if loaded {
+		e.enqueue(s)
 	}
 	e.mu.Unlock()
-	if !has {
+	if !loaded {
 		http.Error(w, "model is not loaded", http.StatusServiceUnavailable)
 		return
 	}
-	e.send(w, r, s, 0)
+	e.writeStream(w, r, s, 0)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
@@ -83,7 +83,7 @@
 		http.Error(w, "unknown stream", http.StatusNotFound)
 		return
 	}
-	e.send(w, r, s, after)
+	e.writeStream(w, r, s, after)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
@@ -99,14 +99,14 @@
 	s.notify()
 }
 
-// send writes the stream's tokens after the given one, as they come.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, after int) {
-	e.setMeta(w.Header())
+// writeStream writes the stream's tokens after the given index as they are decoded.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, after int) {
+	e.setLoadHeaders(w.Header())
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
-	e.hold(s, 1)
-	defer e.hold(s, -1)
+	e.updateReaders(s, 1)
+	defer e.updateReaders(s, -1)
 	sent := after
 	for {
 		e.mu.Lock()
@@ -139,20 +139,20 @@
 	}
 }
 
-func (e *Engine) hold(s *stream, n int) {
+func (e *Engine) updateReaders(s *stream, n int) {
 	e.mu.Lock()
 	s.readers += n
-	s.readerOff = time.Now()
+	s.readersChanged = time.Now()
 	e.mu.Unlock()
 }
 
 func writeToken(w io.Writer, s *stream, id int, text string, last bool) {
 	var finish *string
 	if last {
-		why := "length"
-		finish = &why
+		reason := "length"
+		finish = &reason
 	}
-	a := s.answer()
+	a := s.responseChunk()
 	if s.chat {
 		a.Choices = []openai.Choice{{Delta: &openai.Delta{Content: text}, FinishReason: finish}}
 	} else {
@@ -163,15 +163,15 @@
 }
 
 func writeEnd(w io.Writer, s *stream, id int) {
-	a := s.answer()
+	a := s.responseChunk()
 	a.Choices = []openai.Choice{}
-	a.Usage = &openai.Usage{PromptTokens: s.prompt, CompletionTokens: len(s.tokens), TotalTokens: s.prompt + len(s.tokens)}
-	a.Usage.PromptDetails.CachedTokens = s.cached
+	a.Usage = &openai.Usage{PromptTokens: s.promptTokens, CompletionTokens: len(s.tokens), TotalTokens: s.promptTokens + len(s.tokens)}
+	a.Usage.PromptDetails.CachedTokens = s.cachedTokens
 	raw, _ := json.Marshal(a)
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\ndata: %s\n\n", id, raw, openai.Done)
 }
 
-func (s *stream) answer() openai.Answer {
+func (s *stream) responseChunk() openai.Answer {
 	object := openai.ObjectText
 	if s.chat {
 		object = openai.ObjectChatChunk
@@ -179,9 +179,9 @@
 	return openai.Answer{ID: s.id, Object: object, Created: time.Now().Unix(), Model: s.model}
 }
 
-func (e *Engine) setMeta(h http.Header) {
+func (e *Engine) setLoadHeaders(h http.Header) {
 	e.mu.Lock()
-	st, leaving := e.lagged(), e.leavingMS
+	st, leaving := e.reportedState(), e.leavingMS
 	e.mu.Unlock()
 	var l engine.Load
 	l.Named.AtMS = float64(st.AtMS)
@@ -199,8 +199,8 @@
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("cache_after"), 10, 64)
 	e.mu.Lock()
-	st := e.lagged()
-	st.LeavingMS, st.Epoch, st.CacheSeq = e.leavingMS, e.epoch, e.eventSeq
+	st := e.reportedState()
+	st.LeavingMS, st.Epoch, st.CacheSeq = e.leavingMS, e.epoch, e.lastEventSeq
 	for _, m := range e.models {
 		st.Models = append(st.Models, m)
 	}
@@ -228,11 +228,11 @@
 		return
 	}
 	e.epoch = o.Epoch
-	has := e.models[o.Name].Version == o.Version && o.Version != ""
+	loaded := e.models[o.Name].Version == o.Version && o.Version != ""
 	switch {
 	case o.Op == engine.OpUnload:
 		delete(e.models, o.Name)
-	case !has && !e.loading[o.Name]:
+	case !loaded && !e.loading[o.Name]:
 		e.loading[o.Name] = true
 		go e.load(o)
 	}
@@ -255,8 +255,9 @@
 	}
 }
 
-// export is what one engine hands another: the text whose cache moves.
-type export struct {
+// kvExport describes the KV cache of a stream. The transfer is simulated: only
+// the text is sent, and the importing engine waits as long as the cache would take.
+type kvExport struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
@@ -264,13 +265,13 @@
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	s := e.streams[mux.Vars(r)["id"]]
-	var out export
+	var out kvExport
 	if s != nil {
 		out.Text = s.text
 		for _, t := range s.tokens {
 			out.Text += t
 		}
-		out.Tokens = s.prompt + len(s.tokens)
+		out.Tokens = s.promptTokens + len(s.tokens)
 	}
 	e.mu.Unlock()
 	if s == nil {
@@ -281,31 +282,31 @@
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	var im engine.Import
-	if !readJSON(w, r, &im) {
+	var order engine.Import
+	if !readJSON(w, r, &order) {
 		return
 	}
-	resp, err := http.Get("http://" + im.Source + "/v1/kv/export/" + im.Stream)
+	resp, err := http.Get("http://" + order.Source + "/v1/kv/export/" + order.Stream)
 	if err != nil {
 		http.Error(w, "source unreachable", http.StatusServiceUnavailable)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var ex export
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&ex) != nil {
+	var exported kvExport
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&exported) != nil {
 		http.Error(w, "source has no such stream", http.StatusServiceUnavailable)
 		return
 	}
-	wait := time.Duration(float64(ex.Tokens) / e.shape.MoveTPS * float64(time.Second))
+	transferTime := time.Duration(float64(exported.Tokens) / e.shape.MoveTPS * float64(time.Second))
 	select {
 	case <-r.Context().Done():
 		return
-	case <-time.After(wait):
+	case <-time.After(transferTime):
 	}
 	e.mu.Lock()
-	e.store(engine.Blocks(ex.Text))
+	e.insertCacheBlocks(engine.Blocks(exported.Text))
 	e.mu.Unlock()
-	w.Header().Set(engine.HeaderPulledTokens, strconv.Itoa(ex.Tokens))
+	w.Header().Set(engine.HeaderPulledTokens, strconv.Itoa(exported.Tokens))
 }
 
 func (e *Engine) serveLeave(w http.ResponseWriter, r *http.Request) {
@@ -317,8 +318,8 @@
 	}
 }
 
-// post is used between stand-ins.
-func post(url string, v any) error {
+// postJSON sends v to another simulated service and ignores the status.
+func postJSON(url string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/src/standin/kv.go
+++ b/src/standin/kv.go
@@ -1,5 +1,5 @@
-// Package standin holds small fakes of the services outside the system, for
-// tests and the demo. Each has switchable faults under /admin/.
+// Package standin implements fakes of the external services that crankridge uses,
+// for tests and the demo. Each can be made to fail through /admin/faults.
 package standin
 
 import (
@@ -16,66 +16,66 @@
 )
 
 const (
-	kvHistory      = 20000
-	leaseSweep     = 200 * time.Millisecond
-	watchProgress  = 2 * time.Second
-	maxRequestBody = 64 << 20
+	maxHistory            = 20000
+	leaseSweepInterval    = 200 * time.Millisecond
+	watchProgressInterval = 2 * time.Second
+	maxRequestBody        = 64 << 20
 )
 
-// KVFaults are the ways in which the key-value service can fail.
+// KVFaults are the faults that the key-value service simulates.
 type KVFaults struct {
 	Down          bool `json:"down"`
 	DelayMS       int  `json:"delay_ms"`
-	DropResponses int  `json:"lose_answers"` // how many of the next writes take effect unanswered
-	StaleReads    bool `json:"stale_reads"`  // lists answer as of the time this was set
+	DropResponses int  `json:"lose_answers"` // number of writes to perform without a response
+	StaleReads    bool `json:"stale_reads"`  // range requests return the data of the time when this was set
 }
 
-// KV is the key-value service.
+// KV is an in-memory key-value service with the JSON API of etcd.
 type KV struct {
-	mu      sync.Mutex
-	rev     int64
-	data    map[string]ports.WireKV
-	history []ports.WireEvent
-	floor   int64
-	leases  map[int64]*kvLease
-	next    int64
-	changed chan struct{}
-	down    chan struct{}
-	faults  KVFaults
-	stale   *ports.WireRangeResult
-	calls   map[string]int64
+	mu        sync.Mutex
+	revision  int64
+	data      map[string]ports.WireKV
+	history   []ports.WireEvent
+	compacted int64 // highest revision dropped from history
+	leases    map[int64]*kvLease
+	lastLease int64
+	changed   chan struct{}
+	down      chan struct{}
+	faults    KVFaults
+	stale     *ports.WireRangeResult // all data as of the start of the stale-reads fault
+	calls     map[string]int64
 }
 
 type kvLease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
-// NewKV returns an empty service. Its lease sweep ends with the process.
+// NewKV returns an empty service. Its lease expiry loop runs until the process exits.
 func NewKV() *KV {
 	k := &KV{
 		data: map[string]ports.WireKV{}, leases: map[int64]*kvLease{},
 		changed: make(chan struct{}), down: make(chan struct{}), calls: map[string]int64{},
 	}
-	go k.sweep()
+	go k.expireLeases()
 	return k
 }
 
-// Handler serves the API and the admin calls.
+// Handler serves the key-value API and the admin API.
 func (k *KV) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/admin/faults", k.setFaults).Methods(http.MethodPost)
-	r.HandleFunc("/admin/calls", k.showCalls).Methods(http.MethodGet)
-	r.HandleFunc("/v3/kv/range", k.guard("range", k.serveRange))
-	r.HandleFunc("/v3/kv/txn", k.guard("txn", k.serveTxn))
-	r.HandleFunc("/v3/lease/grant", k.guard("grant", k.serveGrant))
-	r.HandleFunc("/v3/lease/keepalive", k.guard("keepalive", k.serveKeepAlive))
-	r.HandleFunc("/v3/lease/revoke", k.guard("revoke", k.serveRevoke))
-	r.HandleFunc("/v3/watch", k.guard("watch", k.serveWatch))
+	r.HandleFunc("/admin/faults", k.serveFaults).Methods(http.MethodPost)
+	r.HandleFunc("/admin/calls", k.serveCalls).Methods(http.MethodGet)
+	r.HandleFunc("/v3/kv/range", k.withFaults("range", k.serveRange))
+	r.HandleFunc("/v3/kv/txn", k.withFaults("txn", k.serveTxn))
+	r.HandleFunc("/v3/lease/grant", k.withFaults("grant", k.serveGrant))
+	r.HandleFunc("/v3/lease/keepalive", k.withFaults("keepalive", k.serveKeepAlive))
+	r.HandleFunc("/v3/lease/revoke", k.withFaults("revoke", k.serveRevoke))
+	r.HandleFunc("/v3/watch", k.withFaults("watch", k.serveWatch))
 	return r
 }
 
-func (k *KV) setFaults(w http.ResponseWriter, r *http.Request) {
+func (k *KV) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f KVFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -90,22 +90,22 @@
 	}
 	k.stale = nil
 	if f.StaleReads {
-		all := k.rangeOf([]byte(platformAll), []byte{0xff})
+		all := k.readRange([]byte(firstKey), []byte{0xff})
 		k.stale = &all
 	}
 	k.faults = f
 }
 
-const platformAll = "\x01"
+const firstKey = "\x01"
 
-func (k *KV) showCalls(w http.ResponseWriter, _ *http.Request) {
+func (k *KV) serveCalls(w http.ResponseWriter, _ *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	writeJSON(w, http.StatusOK, k.calls)
 }
 
-// guard counts the call and brings about the faults that are set.
-func (k *KV) guard(kind string, serve http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler to count its calls and to apply the delay and outage faults.
+func (k *KV) withFaults(kind string, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		k.mu.Lock()
 		k.calls[kind]++
@@ -127,15 +127,15 @@
 		return
 	}
 	k.mu.Lock()
-	res := k.rangeOf(req.Key, req.RangeEnd)
+	res := k.readRange(req.Key, req.RangeEnd)
 	if k.stale != nil {
-		res = staleRange(*k.stale, req)
+		res = filterRange(*k.stale, req)
 	}
 	k.mu.Unlock()
 	writeJSON(w, http.StatusOK, res)
 }
 
-func staleRange(all ports.WireRangeResult, req ports.WireRange) ports.WireRangeResult {
+func filterRange(all ports.WireRangeResult, req ports.WireRange) ports.WireRangeResult {
 	out := ports.WireRangeResult{Header: all.Header}
 	for _, kv := range all.KVs {
 		if inRange(kv.Key, req.Key, req.RangeEnd) {
@@ -152,8 +152,8 @@
 	return bytes.Compare(key, from) >= 0 && bytes.Compare(key, end) < 0
 }
 
-func (k *KV) rangeOf(from, end []byte) ports.WireRangeResult {
-	res := ports.WireRangeResult{Header: ports.WireHeader{Revision: k.rev}}
+func (k *KV) readRange(from, end []byte) ports.WireRangeResult {
+	res := ports.WireRangeResult{Header: ports.WireHeader{Revision: k.revision}}
 	for _, kv := range k.data {
 		if inRange(kv.Key, from, end) {
 			res.KVs = append(res.KVs, kv)
@@ -170,13 +170,13 @@
 	}
 	k.mu.Lock()
 	res, ok := k.txn(req)
-	lose := ok && res.Succeeded && k.faults.DropResponses > 0
-	if lose {
+	dropResponse := ok && res.Succeeded && k.faults.DropResponses > 0
+	if dropResponse {
 		k.faults.DropResponses--
 	}
 	k.mu.Unlock()
 	switch {
-	case lose:
+	case dropResponse:
 		panic(http.ErrAbortHandler)
 	case !ok:
 		http.Error(w, `{"message":"requested lease not found"}`, http.StatusNotFound)
@@ -187,20 +187,20 @@
 
 func (k *KV) txn(req ports.WireTxn) (ports.WireTxnResult, bool) {
 	ops := req.Success
-	won := true
+	matched := true
 	for _, c := range req.Compare {
-		won = won && k.data[string(c.Key)].ModRevision == c.ModRevision
+		matched = matched && k.data[string(c.Key)].ModRevision == c.ModRevision
 	}
-	if !won {
+	if !matched {
 		ops = req.Failure
 	}
-	res := ports.WireTxnResult{Succeeded: won}
+	res := ports.WireTxnResult{Succeeded: matched}
 	for _, op := range ops {
 		var out ports.WireOpResult
 		switch {
 		case op.Range != nil:
-			rr := k.rangeOf(op.Range.Key, op.Range.RangeEnd)
-			out.Range = &rr
+			result := k.readRange(op.Range.Key, op.Range.RangeEnd)
+			out.Range = &result
 		case op.Put != nil:
 			if op.Put.Lease != 0 && k.leases[op.Put.Lease] == nil {
 				return res, false
@@ -211,30 +211,30 @@
 		}
 		res.Responses = append(res.Responses, out)
 	}
-	res.Header.Revision = k.rev
+	res.Header.Revision = k.revision
 	return res, true
 }
 
 func (k *KV) put(p ports.WirePut) {
-	k.rev++
-	kv := ports.WireKV{Key: p.Key, Value: p.Value, ModRevision: k.rev, Lease: p.Lease}
+	k.revision++
+	kv := ports.WireKV{Key: p.Key, Value: p.Value, ModRevision: k.revision, Lease: p.Lease}
 	k.data[string(p.Key)] = kv
-	k.record(ports.WireEvent{KV: kv})
+	k.appendEvent(ports.WireEvent{KV: kv})
 }
 
 func (k *KV) remove(key string) {
 	if _, ok := k.data[key]; !ok {
 		return
 	}
-	k.rev++
+	k.revision++
 	delete(k.data, key)
-	k.record(ports.WireEvent{Type: ports.EventDelete, KV: ports.WireKV{Key: []byte(key), ModRevision: k.rev}})
+	k.appendEvent(ports.WireEvent{Type: ports.EventDelete, KV: ports.WireKV{Key: []byte(key), ModRevision: k.revision}})
 }
 
-func (k *KV) record(ev ports.WireEvent) {
+func (k *KV) appendEvent(ev ports.WireEvent) {
 	k.history = append(k.history, ev)
-	if len(k.history) > kvHistory {
-		k.floor = k.history[0].KV.ModRevision
+	if len(k.history) > maxHistory {
+		k.compacted = k.history[0].KV.ModRevision
 		k.history = k.history[1:]
 	}
 	close(k.changed)
@@ -247,10 +247,10 @@
 		return
 	}
 	k.mu.Lock()
-	k.next++
-	id := k.next
+	k.lastLease++
+	id := k.lastLease
 	ttl := time.Duration(req.TTL) * time.Second
-	k.leases[id] = &kvLease{ttl: ttl, ends: time.Now().Add(ttl)}
+	k.leases[id] = &kvLease{ttl: ttl, expires: time.Now().Add(ttl)}
 	k.mu.Unlock()
 	writeJSON(w, http.StatusOK, ports.WireLease{ID: id, TTL: req.TTL})
 }
@@ -263,7 +263,7 @@
 	var out ports.WireKeepAlive
 	k.mu.Lock()
 	if l := k.leases[req.ID]; l != nil {
-		l.ends = time.Now().Add(l.ttl)
+		l.expires = time.Now().Add(l.ttl)
 		out.Result = ports.WireLease{ID: req.ID, TTL: int64(l.ttl / time.Second)}
 	}
 	k.mu.Unlock()
@@ -276,12 +276,12 @@
 		return
 	}
 	k.mu.Lock()
-	k.lapse(req.ID)
+	k.expireLease(req.ID)
 	k.mu.Unlock()
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (k *KV) lapse(id int64) {
+func (k *KV) expireLease(id int64) {
 	delete(k.leases, id)
 	for key, kv := range k.data {
 		if kv.Lease == id {
@@ -290,13 +290,13 @@
 	}
 }
 
-func (k *KV) sweep() {
-	for range time.Tick(leaseSweep) {
+func (k *KV) expireLeases() {
+	for range time.Tick(leaseSweepInterval) {
 		k.mu.Lock()
-		// An outage of the service does not lapse leases: nobody could renew them.
+		// Leases do not expire during a simulated outage, when no client can renew them.
 		for id, l := range k.leases {
-			if time.Now().After(l.ends) && !k.faults.Down {
-				k.lapse(id)
+			if time.Now().After(l.expires) && !k.faults.Down {
+				k.expireLease(id)
 			}
 		}
 		k.mu.Unlock()
@@ -312,7 +312,7 @@
 	from := req.Create.StartRevision
 	for first := true; ; first = false {
 		k.mu.Lock()
-		msg, canceled := k.batch(req, from)
+		msg, canceled := k.watchResult(req, from)
 		from = max(from, msg.Result.Header.Revision+1)
 		changed, down := k.changed, k.down
 		k.mu.Unlock()
@@ -328,17 +328,17 @@
 		case <-down:
 			panic(http.ErrAbortHandler)
 		case <-changed:
-		case <-time.After(watchProgress):
+		case <-time.After(watchProgressInterval):
 		}
 	}
 }
 
-func (k *KV) batch(req ports.WireWatchCreate, from int64) (ports.WireWatchResult, bool) {
+func (k *KV) watchResult(req ports.WireWatchCreate, from int64) (ports.WireWatchResult, bool) {
 	var msg ports.WireWatchResult
-	msg.Result.Header.Revision = k.rev
-	if from <= k.floor {
+	msg.Result.Header.Revision = k.revision
+	if from <= k.compacted {
 		msg.Result.Canceled = true
-		msg.Result.CompactRevision = k.floor + 1
+		msg.Result.CompactRevision = k.compacted + 1
 		return msg, true
 	}
 	at, _ := slices.BinarySearchFunc(k.history, from, func(ev ports.WireEvent, rev int64) int {
@@ -352,8 +352,8 @@
 	return msg, false
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(into)
+func readJSON(w http.ResponseWriter, r *http.Request, dst any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(dst)
 	if err != nil {
 		http.Error(w, "bad body: "+err.Error(), http.StatusBadRequest)
 	}
--- a/src/standin/run.go
+++ b/src/standin/run.go
@@ -12,7 +12,7 @@
 	"github.com/crankridge/crankridge/src/settings"
 )
 
-// Run serves all fakes of the settings until ctx ends.
+// Run serves the fakes that the settings list until ctx is done.
 func Run(ctx context.Context, set settings.Standin) error {
 	var servers []*http.Server
 	defer func() {
@@ -20,7 +20,7 @@
 			_ = s.Close()
 		}
 	}()
-	add := func(name, addr string, h http.Handler) error {
+	listen := func(name, addr string, h http.Handler) error {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return err
@@ -31,8 +31,8 @@
 		klog.V(1).InfoS("standin", "name", name, "addr", addr)
 		return nil
 	}
-	for _, part := range partsOf(set) {
-		if err := add(part.name, part.addr, part.handler); err != nil {
+	for _, f := range newFakes(set) {
+		if err := listen(f.name, f.addr, f.handler); err != nil {
 			return err
 		}
 	}
@@ -40,18 +40,18 @@
 	return nil
 }
 
-type part struct {
+type fake struct {
 	name, addr string
 	handler    http.Handler
 }
 
-func partsOf(set settings.Standin) []part {
-	var out []part
+func newFakes(set settings.Standin) []fake {
+	var out []fake
 	if set.KV != nil {
-		out = append(out, part{"kv", set.KV.Listen, NewKV().Handler()})
+		out = append(out, fake{"kv", set.KV.Listen, NewKV().Handler()})
 	}
 	if set.Weights != nil {
-		out = append(out, part{"weights", set.Weights.Listen, NewWeights(set.Weights.Rate).Handler()})
+		out = append(out, fake{"weights", set.Weights.Listen, NewWeights(set.Weights.Rate).Handler()})
 	}
 	for _, e := range set.Engines {
 		version := e.Version
@@ -62,18 +62,18 @@
 		for _, m := range e.Models {
 			models = append(models, engine.LoadedModel{Name: m, Version: version})
 		}
-		out = append(out, part{e.Name, e.Listen, NewEngine(e.Name, EngineShape(e.Shape), e.Weights, models...).Handler()})
+		out = append(out, fake{e.Name, e.Listen, NewEngine(e.Name, EngineShape(e.Shape), e.Weights, models...).Handler()})
 	}
 	for _, s := range set.Services {
-		out = append(out, part{s.Name, s.Listen, NewService(s.Name, s.ChecksFencing).Handler()})
+		out = append(out, fake{s.Name, s.Listen, NewService(s.Name, s.ChecksFencing).Handler()})
 	}
 	if set.Cloud != nil {
-		out = append(out, part{"cloud", set.Cloud.Listen, cloudOf(*set.Cloud).Handler()})
+		out = append(out, fake{"cloud", set.Cloud.Listen, newCloud(*set.Cloud).Handler()})
 	}
 	return out
 }
 
-func cloudOf(c settings.StandinCloud) *Cloud {
+func newCloud(c settings.StandinCloud) *Cloud {
 	var vms []ports.VM
 	for _, v := range c.VMs {
 		vms = append(vms, ports.VM{
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -12,49 +12,51 @@
 	"github.com/gorilla/mux"
 )
 
-// Headers that the system sends with each service call.
+// Headers of service calls.
 const (
 	HeaderKey     = "Crankridge-Request-Key"
 	HeaderFencing = "Crankridge-Fencing-Token"
-	// HeaderNotStarted marks a refusal given before anything was done.
+	// HeaderNotStarted marks an error response to a call that was not executed.
 	HeaderNotStarted = "Crankridge-Not-Started"
 )
 
-// ServiceFaults are the ways in which a plain service can fail.
+// ServiceFaults are the faults that a plain service simulates. Counts are of the
+// next calls.
 type ServiceFaults struct {
-	DelayMS     int  `json:"delay_ms"`     // between running a call and answering it
-	ResetBefore int  `json:"reset_before"` // next calls whose connection is reset before they run
-	ResetDuring int  `json:"reset_during"` // next calls reset while their body arrives; they do not run
-	ResetAfter  int  `json:"reset_after"`  // next calls that run and are reset unanswered
-	Refuse      int  `json:"refuse"`       // next calls refused before they start
-	Hang        bool `json:"hang"`
+	DelayMS     int  `json:"delay_ms"`     // time between execution and response
+	ResetBefore int  `json:"reset_before"` // calls reset before execution
+	ResetDuring int  `json:"reset_during"` // calls reset while their body is read; they are not executed
+	ResetAfter  int  `json:"reset_after"`  // calls executed, then reset without a response
+	Refuse      int  `json:"refuse"`       // calls refused before execution
+	Hang        bool `json:"hang"`         // execute calls without ever responding
 }
 
-// Service records how often each request key was run.
+// Service simulates a plain service. It counts the executions of each request key.
 type Service struct {
-	mu      sync.Mutex
-	name    string
-	fencing bool
-	faults  ServiceFaults
-	runs    map[string]int
-	tokens  map[string]int64
+	mu            sync.Mutex
+	name          string
+	checksFencing bool
+	faults        ServiceFaults
+	runs          map[string]int
+	fencingTokens map[string]int64
 }
 
-// NewService returns a plain service; fencing makes it check fencing tokens.
+// NewService returns a service. With checksFencing it rejects calls whose fencing
+// token is older than the last one accepted for the same key.
 func NewService(name string, fencing bool) *Service {
-	return &Service{name: name, fencing: fencing, runs: map[string]int{}, tokens: map[string]int64{}}
+	return &Service{name: name, checksFencing: fencing, runs: map[string]int{}, fencingTokens: map[string]int64{}}
 }
 
-// Handler serves calls at every path, and the admin calls.
+// Handler serves calls on all paths, and the admin API.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/admin/faults", s.setFaults)
-	r.HandleFunc("/admin/runs", s.showRuns)
-	r.PathPrefix("/").HandlerFunc(s.serve)
+	r.HandleFunc("/admin/faults", s.serveFaults)
+	r.HandleFunc("/admin/runs", s.serveRuns)
+	r.PathPrefix("/").HandlerFunc(s.serveCall)
 	return r
 }
 
-func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f ServiceFaults
 	if !readJSON(w, r, &f) {
 		return
@@ -64,13 +66,13 @@
 	s.mu.Unlock()
 }
 
-func (s *Service) showRuns(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveRuns(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	writeJSON(w, http.StatusOK, s.runs)
 }
 
-type serviceAnswer struct {
+type serviceResponse struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Key     string `json:"key"`
@@ -78,8 +80,8 @@
 	Body    string `json:"body_sha256"`
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	if s.resetsBody() {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
+	if s.takeBodyReset() {
 		_, _ = io.ReadFull(r.Body, make([]byte, 1))
 		panic(http.ErrAbortHandler)
 	}
@@ -91,17 +93,17 @@
 	token, _ := strconv.ParseInt(r.Header.Get(HeaderFencing), 10, 64)
 	s.mu.Lock()
 	f := s.faults
-	act := s.decide(key, token)
+	result := s.decideOutcome(key, token)
 	runs := s.runs[key]
 	s.mu.Unlock()
-	switch act {
-	case actReset:
+	switch result {
+	case outcomeReset:
 		panic(http.ErrAbortHandler)
-	case actRefuse:
+	case outcomeRefuse:
 		w.Header().Set(HeaderNotStarted, "1")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
-	case actFence:
+	case outcomeStaleToken:
 		w.Header().Set(HeaderNotStarted, "1")
 		http.Error(w, "older fencing token", http.StatusConflict)
 		return
@@ -115,14 +117,15 @@
 		return
 	case <-time.After(time.Duration(f.DelayMS) * time.Millisecond):
 	}
-	if act == actRunReset {
+	if result == outcomeExecuteThenReset {
 		panic(http.ErrAbortHandler)
 	}
 	sum := sha256.Sum256(body)
-	writeJSON(w, http.StatusOK, serviceAnswer{Service: s.name, Path: r.URL.Path, Key: key, Runs: runs, Body: hex.EncodeToString(sum[:])})
+	writeJSON(w, http.StatusOK, serviceResponse{Service: s.name, Path: r.URL.Path, Key: key, Runs: runs, Body: hex.EncodeToString(sum[:])})
 }
 
-func (s *Service) resetsBody() bool {
+// takeBodyReset reports whether to reset this call while its body is read.
+func (s *Service) takeBodyReset() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.ResetDuring == 0 {
@@ -132,32 +135,33 @@
 	return true
 }
 
-type action int
+// outcome is what happens to a service call.
+type outcome int
 
 const (
-	actRun action = iota
-	actRunReset
-	actReset
-	actRefuse
-	actFence
+	outcomeExecute outcome = iota
+	outcomeExecuteThenReset
+	outcomeReset
+	outcomeRefuse
+	outcomeStaleToken
 )
 
-func (s *Service) decide(key string, token int64) action {
+func (s *Service) decideOutcome(key string, token int64) outcome {
 	switch {
 	case s.faults.ResetBefore > 0:
 		s.faults.ResetBefore--
-		return actReset
+		return outcomeReset
 	case s.faults.Refuse > 0:
 		s.faults.Refuse--
-		return actRefuse
-	case s.fencing && token < s.tokens[key]:
-		return actFence
+		return outcomeRefuse
+	case s.checksFencing && token < s.fencingTokens[key]:
+		return outcomeStaleToken
 	}
-	s.tokens[key] = token
+	s.fencingTokens[key] = token
 	s.runs[key]++
 	if s.faults.ResetAfter > 0 {
 		s.faults.ResetAfter--
-		return actRunReset
+		return outcomeExecuteThenReset
 	}
-	return actRun
+	return outcomeExecute
 }
--- a/src/standin/weights.go
+++ b/src/standin/weights.go
@@ -9,18 +9,19 @@
 	"github.com/gorilla/mux"
 )
 
-// Weights is the weight store: loads share one rate and wait for each other.
+// Weights simulates the weight store. Loads are served one after the other.
 type Weights struct {
-	mu    sync.Mutex
-	rate  float64
-	free  time.Time
-	loads int
+	mu             sync.Mutex
+	bytesPerSecond float64
+	availableAt    time.Time
+	loads          int
 }
 
-// NewWeights returns a store that gives bytesPerSecond in all.
-func NewWeights(bytesPerSecond float64) *Weights { return &Weights{rate: bytesPerSecond} }
+// NewWeights returns a store with the given total throughput.
+func NewWeights(bytesPerSecond float64) *Weights { return &Weights{bytesPerSecond: bytesPerSecond} }
 
-// Handler serves loads; the bytes themselves are not sent.
+// Handler serves loads. The response has no body; it is delayed as long as the
+// transfer would take.
 func (s *Weights) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/weights/{model}/{version}", s.serve)
@@ -31,11 +32,11 @@
 	size, _ := strconv.ParseFloat(r.URL.Query().Get("bytes"), 64)
 	s.mu.Lock()
 	s.loads++
-	if now := time.Now(); s.free.Before(now) {
-		s.free = now
+	if now := time.Now(); s.availableAt.Before(now) {
+		s.availableAt = now
 	}
-	s.free = s.free.Add(time.Duration(size / s.rate * float64(time.Second)))
-	ready := s.free
+	s.availableAt = s.availableAt.Add(time.Duration(size / s.bytesPerSecond * float64(time.Second)))
+	ready := s.availableAt
 	s.mu.Unlock()
 	select {
 	case <-r.Context().Done():
