--- a/src/ctl/client.go
+++ b/src/ctl/client.go
@@ -14,35 +14,35 @@
 
 const (
 	requestTimeout = 15 * time.Second
-	sendTries      = 4
+	maxAttempts    = 4
 )
 
 var client = &http.Client{Timeout: requestTimeout}
 
-// answer is one answer of the operators' API.
-type answer struct {
+// response is a response of the operator API.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// ask sends a request to the first address that answers.
-func (g *globals) ask(method, path string, header map[string]string, body []byte) (answer, error) {
-	var last error
+// do sends a request to the control addresses in order and returns the first response.
+func (g *globals) do(method, path string, header map[string]string, body []byte) (response, error) {
+	var lastErr error
 	for _, addr := range g.Control {
-		a, err := g.askOne(addr, method, path, header, body)
+		res, err := g.doAt(addr, method, path, header, body)
 		if err == nil {
-			return a, nil
+			return res, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return answer{}, fail(exitDown, "no crank-control answers at %s: %v; give others by --control", strings.Join(g.Control, ", "), last)
+	return response{}, exitErrorf(exitUnavailable, "no crank-control reachable at %s: %v; set other addresses with --control", strings.Join(g.Control, ", "), lastErr)
 }
 
-func (g *globals) askOne(addr, method, path string, header map[string]string, body []byte) (answer, error) {
+func (g *globals) doAt(addr, method, path string, header map[string]string, body []byte) (response, error) {
 	req, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+g.Token)
 	for name, v := range header {
@@ -50,42 +50,42 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, raw}, err
+	return response{resp.StatusCode, resp.Header, raw}, err
 }
 
-// read gets a path and decodes its answer.
-func (g *globals) read(path string, into any) (http.Header, error) {
-	a, err := g.ask(http.MethodGet, path, nil, nil)
+// getJSON decodes the response to a GET request into dst and returns its header.
+func (g *globals) getJSON(path string, dst any) (http.Header, error) {
+	res, err := g.do(http.MethodGet, path, nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	if a.status != http.StatusOK {
-		return nil, a.problem()
+	if res.status != http.StatusOK {
+		return nil, res.toError()
 	}
-	return a.header, json.Unmarshal(a.body, into)
+	return res.header, json.Unmarshal(res.body, dst)
 }
 
-// problem makes an error of an answer that is not a success.
-func (a answer) problem() error {
+// toError converts an error response to an error with the matching exit code.
+func (r response) toError() error {
 	var p operator.Problem
-	if json.Unmarshal(a.body, &p) != nil || p.Error == "" {
-		p.Error = strings.TrimSpace(string(a.body))
+	if json.Unmarshal(r.body, &p) != nil || p.Error == "" {
+		p.Error = strings.TrimSpace(string(r.body))
 	}
-	text := fmt.Sprintf("%s (%d)", p.Error, a.status)
+	text := fmt.Sprintf("%s (%d)", p.Error, r.status)
 	if p.Hint != "" {
 		text += "; " + p.Hint
 	}
 	switch {
-	case a.status == http.StatusPreconditionFailed:
-		return fail(exitConflict, "%s", text)
-	case a.status == http.StatusServiceUnavailable && a.header.Get("Crankridge-Outcome") == "may-have-run":
-		return fail(exitUnsure, "%s", text)
-	case a.status == http.StatusServiceUnavailable:
-		return fail(exitDown, "%s", text)
+	case r.status == http.StatusPreconditionFailed:
+		return exitErrorf(exitConflict, "%s", text)
+	case r.status == http.StatusServiceUnavailable && r.header.Get("Crankridge-Outcome") == "may-have-run":
+		return exitErrorf(exitOutcomeUnknown, "%s", text)
+	case r.status == http.StatusServiceUnavailable:
+		return exitErrorf(exitUnavailable, "%s", text)
 	}
-	return fail(exitFailed, "%s", text)
+	return exitErrorf(exitFailed, "%s", text)
 }
--- a/src/ctl/ctl.go
+++ b/src/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is crankctl: the operators' commands, and a caller for trying
-// things out and for load.
+// Package ctl implements crankctl, the command line tool for operators. It also
+// sends single requests and load as a customer.
 package ctl
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes, so that scripts can tell what happened.
+// Exit codes. Code 2 is for wrong usage.
 const (
-	exitFailed   = 1 // the command failed
-	exitConflict = 3 // somebody else changed the resource
-	exitDown     = 4 // nothing was changed: a service is unavailable; try again
-	exitUnsure   = 5 // it is not known whether it took effect; try the same again
-	exitLagging  = 6 // accepted, but not in force everywhere in time
+	exitFailed         = 1 // the command failed
+	exitConflict       = 3 // the resource was changed concurrently
+	exitUnavailable    = 4 // nothing was changed because a service is unavailable
+	exitOutcomeUnknown = 5 // the change may or may not have taken effect; safe to repeat
+	exitNotRolledOut   = 6 // the change was accepted but did not reach all nodes in time
 )
 
-// exitError carries an exit code.
+// exitError is an error with the exit code to return for it.
 type exitError struct {
 	code int
 	err  error
@@ -27,7 +27,7 @@
 
 func (e exitError) Error() string { return e.err.Error() }
 
-func fail(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return exitError{code, fmt.Errorf(format, args...)}
 }
 
@@ -54,21 +54,21 @@
 	Completion completionCmd `cmd:"" help:"Print a bash completion script: source <(crankctl completion)."`
 }
 
-const about = `Operates crankridge and calls it.
+const description = `Operates crankridge and sends requests to it.
 
-The first steps, against the demo (make demo KEEP=1):
+To get started with the demo (make demo KEEP=1):
   crankctl --token demo-operator status
   crankctl --token demo-operator get events -o yaml
   crankctl --key demo-ride-key send --model climb "Describe the climb."
 
-Exit codes: 1 failed, 2 wrong usage, 3 changed by somebody else, 4 nothing was
-changed because a service is unavailable, 5 not known whether it took effect,
-6 accepted but not yet in force everywhere.`
+Exit codes: 1 failed, 2 wrong usage, 3 changed concurrently, 4 nothing was changed
+because a service is unavailable, 5 outcome unknown, 6 accepted but not yet in
+force on all nodes.`
 
-// Main runs the command line.
+// Main runs crankctl with the arguments of the process.
 func Main() {
 	var c commands
-	k := kong.Must(&c, kong.Name("crankctl"), kong.Description(about), kong.UsageOnError())
+	k := kong.Must(&c, kong.Name("crankctl"), kong.Description(description), kong.UsageOnError())
 	ctx, err := k.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "crankctl:", err)
--- a/src/ctl/look.go
+++ b/src/ctl/inspect.go
@@ -25,13 +25,13 @@
 	From int64 `help:"Version to start after; now if left out."`
 }
 
-// Run prints changes until interrupted. A broken stream is taken up after the
-// last version seen.
+// Run prints changes until interrupted. A broken watch is resumed after the last
+// version received.
 func (c *watchCmd) Run(g *globals) error {
 	from := c.From
 	if from == 0 {
 		var list []any
-		header, err := g.read("/v1/resources/events", &list)
+		header, err := g.getJSON("/v1/resources/events", &list)
 		if err != nil {
 			return err
 		}
@@ -39,17 +39,19 @@
 	}
 	for {
 		for _, addr := range g.Control {
-			seen, err := g.watchOne(addr, from)
+			last, err := g.watchAt(addr, from)
 			if err != nil {
 				return err
 			}
-			from = max(from, seen)
+			from = max(from, last)
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-func (g *globals) watchOne(addr string, from int64) (int64, error) {
+// watchAt prints changes from one address until the watch breaks and returns the
+// last version received.
+func (g *globals) watchAt(addr string, from int64) (int64, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/v1/watch?from="+strconv.FormatInt(from, 10), nil)
 	if err != nil {
 		return from, err
@@ -63,7 +65,7 @@
 	if resp.StatusCode != http.StatusOK {
 		var p operator.Problem
 		_ = json.NewDecoder(resp.Body).Decode(&p)
-		return from, fail(exitFailed, "%s (%d); %s", p.Error, resp.StatusCode, p.Hint)
+		return from, exitErrorf(exitFailed, "%s (%d); %s", p.Error, resp.StatusCode, p.Hint)
 	}
 	dec := json.NewDecoder(resp.Body)
 	for {
@@ -89,8 +91,8 @@
 	var events []event.Status
 	var nodes []member.Node
 	var ups []upstream.Published
-	for path, into := range map[string]any{"/v1/status/events": &events, "/v1/nodes": &nodes, "/v1/upstreams": &ups} {
-		if _, err := g.read(path, into); err != nil {
+	for path, dst := range map[string]any{"/v1/status/events": &events, "/v1/nodes": &nodes, "/v1/upstreams": &ups} {
+		if _, err := g.getJSON(path, dst); err != nil {
 			return err
 		}
 	}
@@ -105,12 +107,12 @@
 	}
 	_, _ = fmt.Fprintln(w, "\nUPSTREAM\tDOMAIN\tADDRESS\tSERVES\tLEAVING")
 	for _, u := range ups {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\n", u.Name, u.FailureDomain, u.Addr, serves(u), u.LeavingMS > 0)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\n", u.Name, u.FailureDomain, u.Addr, servedNames(u), u.LeavingMS > 0)
 	}
 	return w.Flush()
 }
 
-func serves(u upstream.Published) string {
+func servedNames(u upstream.Published) string {
 	if u.Kind == upstream.KindService {
 		return "service " + u.Service
 	}
@@ -128,53 +130,53 @@
 	Logs []string `help:"Log files of crank-gateway processes to find a request's id in instead; - for standard input." sep:","`
 }
 
-// fromLogs tells a request's story from the logs of all nodes.
-func (c *explainCmd) fromLogs() error {
+// explainFromLogs prints what the logs of all nodes say about a request.
+func (c *explainCmd) explainFromLogs() error {
 	var all []logLine
 	for _, name := range c.Logs {
 		log := os.Stdin
 		if name != "-" {
 			file, err := os.Open(name)
 			if err != nil {
-				return fail(exitFailed, "%w", err)
+				return exitErrorf(exitFailed, "%w", err)
 			}
 			defer func() { _ = file.Close() }()
 			log = file
 		}
 		lines, err := parseLog(log, name)
 		if err != nil {
-			return fail(exitFailed, "read %s: %w", name, err)
+			return exitErrorf(exitFailed, "read %s: %w", name, err)
 		}
 		all = append(all, lines...)
 	}
-	tell(c.Name, all).print(os.Stdout)
+	newTrace(c.Name, all).print(os.Stdout)
 	return nil
 }
 
-// Run prints decisions, oldest first.
+// Run prints the decisions of each process, oldest first.
 func (c *explainCmd) Run(g *globals) error {
 	if len(c.Logs) > 0 {
 		if c.What != "request" {
-			return fail(exitFailed, "logs tell of requests only")
+			return exitErrorf(exitFailed, "--logs applies to requests only")
 		}
-		return c.fromLogs()
+		return c.explainFromLogs()
 	}
-	ask := *g
+	targets := *g
 	path := "/v1/explain"
 	if c.What == "request" {
 		path = "/debug/explain"
-		if ask.Control = c.At; len(ask.Control) == 0 {
+		if targets.Control = c.At; len(targets.Control) == 0 {
 			var err error
-			if ask.Control, err = g.entryOperators(); err != nil {
+			if targets.Control, err = g.entryOperatorAddrs(); err != nil {
 				return err
 			}
 		}
 	}
 	found := false
-	for _, addr := range ask.Control {
+	for _, addr := range targets.Control {
 		one := globals{Control: []string{addr}, Token: g.Token}
 		var list []telemetry.Decision
-		if _, err := one.read(path+"?subject="+url.QueryEscape(c.Name), &list); err != nil {
+		if _, err := one.getJSON(path+"?subject="+url.QueryEscape(c.Name), &list); err != nil {
 			fmt.Fprintln(os.Stderr, "crankctl:", err)
 			continue
 		}
@@ -184,14 +186,14 @@
 		}
 	}
 	if !found {
-		return fail(exitFailed, "nothing is remembered about %s %s; decisions are kept in memory of the process that made them", c.What, c.Name)
+		return exitErrorf(exitFailed, "no decisions found about %s %s; each process keeps its decisions in memory only", c.What, c.Name)
 	}
 	return nil
 }
 
-func (g *globals) entryOperators() ([]string, error) {
+func (g *globals) entryOperatorAddrs() ([]string, error) {
 	var nodes []member.Node
-	if _, err := g.read("/v1/nodes", &nodes); err != nil {
+	if _, err := g.getJSON("/v1/nodes", &nodes); err != nil {
 		return nil, err
 	}
 	var out []string
@@ -205,11 +207,11 @@
 	Addr []string `arg:"" optional:"" help:"Operators' addresses; all nodes if left out."`
 }
 
-// Run prints one JSON document a process.
+// Run prints the state of each process as JSON, by address.
 func (c *dumpCmd) Run(g *globals) error {
 	addrs := c.Addr
 	if len(addrs) == 0 {
-		entries, err := g.entryOperators()
+		entries, err := g.entryOperatorAddrs()
 		if err != nil {
 			return err
 		}
@@ -219,7 +221,7 @@
 	for _, addr := range addrs {
 		one := globals{Control: []string{addr}, Token: g.Token}
 		var raw json.RawMessage
-		if _, err := one.read("/debug/state", &raw); err != nil {
+		if _, err := one.getJSON("/debug/state", &raw); err != nil {
 			fmt.Fprintln(os.Stderr, "crankctl:", err)
 			continue
 		}
@@ -230,7 +232,7 @@
 
 type endpointsCmd struct{}
 
-// Run shows the addresses in the order in which this caller should use them.
+// Run shows the addresses in the order in which the customer should use them.
 func (endpointsCmd) Run(g *globals) error {
 	e, err := g.endpoints()
 	if err != nil {
@@ -245,7 +247,7 @@
 
 func (g *globals) endpoints() (caller.Endpoints, error) {
 	var e caller.Endpoints
-	var last error
+	var lastErr error
 	for _, addr := range g.Entry {
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/v1/endpoints", nil)
 		if err != nil {
@@ -254,19 +256,19 @@
 		req.Header.Set("Authorization", "Bearer "+g.Key)
 		resp, err := client.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		err = json.NewDecoder(resp.Body).Decode(&e)
 		_ = resp.Body.Close()
 		return e, err
 	}
-	return e, fail(exitDown, "no crank-entry answers: %v; give others by --entry", last)
+	return e, exitErrorf(exitUnavailable, "no crank-entry reachable: %v; set other addresses with --entry", lastErr)
 }
 
 type completionCmd struct{}
 
-// Run prints a completion script made from the command model itself.
+// Run prints a completion script generated from the command definitions.
 func (completionCmd) Run(k *kong.Kong) error {
 	var names []string
 	fmt.Println("_crankctl() {\n  local cur=${COMP_WORDS[COMP_CWORD]}\n  case \"${COMP_WORDS[1]}\" in")
--- a/src/ctl/load.go
+++ b/src/ctl/load.go
@@ -40,8 +40,8 @@
 	JSON       bool          `help:"Print JSON instead of a table."`
 }
 
-// LoadReport is what a load run measured. Times are ms, from when a request
-// should have been sent, so that a slow answer delays no later one's clock.
+// LoadReport is the result of a load run. Latencies are in ms and start at the
+// scheduled send time, so that slow responses are not hidden by coordinated omission.
 type LoadReport struct {
 	Sent          int            `json:"sent"`
 	Completed     int            `json:"completed"`
@@ -53,80 +53,80 @@
 	BetweenP50    float64        `json:"between_p50_ms"`
 	BetweenP95    float64        `json:"between_p95_ms"`
 	RefusalP99    float64        `json:"refusal_p99_ms"`
-	Within        float64        `json:"within_target"` // share of all sent whose first token and p95 between tokens met the targets
+	Within        float64        `json:"within_target"` // fraction of requests whose TTFT and p95 token interval met the targets
 	PromptTokens  int            `json:"prompt_tokens"`
-	Prefilled     int            `json:"prefilled_tokens"` // prompt tokens not found in a prefix cache
+	Prefilled     int            `json:"prefilled_tokens"` // prompt tokens not served from a prefix cache
 	TokensPS      float64        `json:"tokens_per_second"`
 	RefusedByCode map[string]int `json:"refused_by_code"`
 	ByKey         []KeyReport    `json:"by_key"`
 }
 
-// KeyReport is one customer's part of a run.
+// KeyReport is the part of a LoadReport for one customer key.
 type KeyReport struct {
 	Sent      int `json:"sent"`
 	Completed int `json:"completed"`
 	Tokens    int `json:"tokens"`
 }
 
-// loader is one run.
-type loader struct {
-	g       *globals
-	c       *loadCmd
-	client  *http.Client
-	mu      sync.Mutex
-	out     LoadReport
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	refusal *hdrhistogram.Histogram
-	good    int
-	tokens  int
+// loadRun is the state of a load run.
+type loadRun struct {
+	globals        *globals
+	cmd            *loadCmd
+	client         *http.Client
+	mu             sync.Mutex
+	totals         LoadReport
+	ttft           *hdrhistogram.Histogram
+	tokenInterval  *hdrhistogram.Histogram
+	refusalLatency *hdrhistogram.Histogram
+	withinTarget   int
+	tokens         int
 }
 
 const (
-	histMost   = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	histogramMax    = int64(10 * time.Minute / time.Microsecond)
+	histogramDigits = 3
 )
 
-// Run sends the load and prints what was measured.
+// Run sends the load and prints the report.
 func (c *loadCmd) Run(g *globals) error {
 	if len(c.Keys) == 0 {
 		c.Keys = []string{g.Key}
 	}
-	l := &loader{
-		g: g, c: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}},
-		first: hdrhistogram.New(1, histMost, histDigits), between: hdrhistogram.New(1, histMost, histDigits), refusal: hdrhistogram.New(1, histMost, histDigits),
+	l := &loadRun{
+		globals: g, cmd: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}},
+		ttft: hdrhistogram.New(1, histogramMax, histogramDigits), tokenInterval: hdrhistogram.New(1, histogramMax, histogramDigits), refusalLatency: hdrhistogram.New(1, histogramMax, histogramDigits),
 	}
-	l.out.RefusedByCode = map[string]int{}
-	l.out.ByKey = make([]KeyReport, len(c.Keys))
-	began := time.Now()
+	l.totals.RefusedByCode = map[string]int{}
+	l.totals.ByKey = make([]KeyReport, len(c.Keys))
+	start := time.Now()
 	l.run()
-	r := l.report(time.Since(began))
+	r := l.report(time.Since(start))
 	if c.JSON {
 		return printJSON(r)
 	}
 	return r.print()
 }
 
-// run sends at times drawn beforehand, whatever becomes of earlier requests.
-func (l *loader) run() {
-	rng := rand.New(rand.NewPCG(l.c.Seed, l.c.Seed))
-	began := time.Now()
+// run sends requests open-loop: arrival times do not depend on earlier responses.
+func (l *loadRun) run() {
+	rng := rand.New(rand.NewPCG(l.cmd.Seed, l.cmd.Seed))
+	start := time.Now()
 	var wg sync.WaitGroup
 	at := time.Duration(0)
 	for i := 0; ; i++ {
-		at += time.Duration(rng.ExpFloat64() / l.c.rateAt(at) * float64(time.Second))
-		if at > l.c.Duration {
+		at += time.Duration(rng.ExpFloat64() / l.cmd.rateAt(at) * float64(time.Second))
+		if at > l.cmd.Duration {
 			break
 		}
-		body := l.c.body(rng)
-		due := began.Add(at)
+		body := l.cmd.requestBody(rng)
+		due := start.Add(at)
 		time.Sleep(time.Until(due))
-		wg.Go(func() { l.one(i, due, body) })
+		wg.Go(func() { l.sendOne(i, due, body) })
 	}
 	wg.Wait()
 }
 
-// rateAt is the rate at a time of the run.
+// rateAt returns the request rate at a time of the run.
 func (c *loadCmd) rateAt(at time.Duration) float64 {
 	since := at - c.SurgeStart
 	switch {
@@ -138,9 +138,9 @@
 	return c.Rate * c.Surge
 }
 
-// body makes a prompt of a shared beginning, drawn with a few favourites, and
-// a part of its own.
-func (c *loadCmd) body(rng *rand.Rand) []byte {
+// requestBody returns a request whose prompt is a shared prefix, drawn with a
+// skewed popularity, followed by random words.
+func (c *loadCmd) requestBody(rng *rand.Rand) []byte {
 	prefix := int(math.Pow(rng.Float64(), 2) * float64(c.Prefixes))
 	var b strings.Builder
 	words := rand.New(rand.NewPCG(uint64(prefix), 7))
@@ -156,114 +156,114 @@
 	return raw
 }
 
-// seen is what one request showed.
-type seen struct {
-	first   time.Duration
-	gaps    []time.Duration
-	tokens  int
-	usage   *openai.Usage
-	whole   bool
-	refused string
+// result is the outcome of one request.
+type result struct {
+	ttft        time.Duration
+	intervals   []time.Duration
+	tokens      int
+	usage       *openai.Usage
+	complete    bool
+	refusalCode string
 }
 
-func (l *loader) one(i int, due time.Time, body []byte) {
-	key := i % len(l.c.Keys)
-	addr := l.g.Entry[i%len(l.g.Entry)]
-	var s seen
+func (l *loadRun) sendOne(i int, due time.Time, body []byte) {
+	key := i % len(l.cmd.Keys)
+	addr := l.globals.Entry[i%len(l.globals.Entry)]
+	var res result
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/v1/completions", bytes.NewReader(body))
 	if err == nil {
-		req.Header.Set("Authorization", "Bearer "+l.c.Keys[key])
-		req.Header.Set("Crankridge-Deadline-Ms", strconv.FormatInt(l.c.Deadline.Milliseconds(), 10))
-		s = l.read(req, due)
+		req.Header.Set("Authorization", "Bearer "+l.cmd.Keys[key])
+		req.Header.Set("Crankridge-Deadline-Ms", strconv.FormatInt(l.cmd.Deadline.Milliseconds(), 10))
+		res = l.readStream(req, due)
 	}
-	l.add(key, s, time.Since(due))
+	l.addResult(key, res, time.Since(due))
 }
 
-func (l *loader) read(req *http.Request, due time.Time) (s seen) {
+func (l *loadRun) readStream(req *http.Request, due time.Time) (res result) {
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return s
+		return res
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		var e openai.ErrorBody
 		_ = json.NewDecoder(resp.Body).Decode(&e)
-		s.refused = e.Error.Code
-		return s
+		res.refusalCode = e.Error.Code
+		return res
 	}
 	last := due
 	for ev, err := range sse.Read(resp.Body, nil) {
 		if err != nil {
-			return s
+			return res
 		}
 		if ev.Data == openai.Done {
-			s.whole = true
-			return s
+			res.complete = true
+			return res
 		}
 		var a openai.Answer
 		if json.Unmarshal([]byte(ev.Data), &a) != nil {
-			return s
+			return res
 		}
 		if a.Usage != nil {
-			s.usage = a.Usage
+			res.usage = a.Usage
 		}
 		if len(a.Choices) == 0 || a.Choices[0].Text == nil || *a.Choices[0].Text == "" {
 			continue
 		}
 		now := time.Now()
-		if s.tokens == 0 {
-			s.first = now.Sub(due)
+		if res.tokens == 0 {
+			res.ttft = now.Sub(due)
 		} else {
-			s.gaps = append(s.gaps, now.Sub(last))
+			res.intervals = append(res.intervals, now.Sub(last))
 		}
 		last = now
-		s.tokens++
+		res.tokens++
 	}
-	return s
+	return res
 }
 
-func (l *loader) add(key int, s seen, took time.Duration) {
+func (l *loadRun) addResult(key int, res result, elapsed time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out.Sent++
-	l.out.ByKey[key].Sent++
+	l.totals.Sent++
+	l.totals.ByKey[key].Sent++
 	switch {
-	case s.refused != "":
-		l.out.Refused++
-		l.out.RefusedByCode[s.refused]++
-		_ = l.refusal.RecordValue(took.Microseconds())
+	case res.refusalCode != "":
+		l.totals.Refused++
+		l.totals.RefusedByCode[res.refusalCode]++
+		_ = l.refusalLatency.RecordValue(elapsed.Microseconds())
 		return
-	case !s.whole:
-		l.out.Broken++
+	case !res.complete:
+		l.totals.Broken++
 		return
 	}
-	l.out.Completed++
-	l.out.ByKey[key].Completed++
-	l.out.ByKey[key].Tokens += s.tokens
-	l.tokens += s.tokens
-	_ = l.first.RecordValue(s.first.Microseconds())
-	own := hdrhistogram.New(1, histMost, histDigits)
-	for _, gap := range s.gaps {
-		_ = l.between.RecordValue(max(gap.Microseconds(), 1))
-		_ = own.RecordValue(max(gap.Microseconds(), 1))
+	l.totals.Completed++
+	l.totals.ByKey[key].Completed++
+	l.totals.ByKey[key].Tokens += res.tokens
+	l.tokens += res.tokens
+	_ = l.ttft.RecordValue(res.ttft.Microseconds())
+	requestIntervals := hdrhistogram.New(1, histogramMax, histogramDigits)
+	for _, interval := range res.intervals {
+		_ = l.tokenInterval.RecordValue(max(interval.Microseconds(), 1))
+		_ = requestIntervals.RecordValue(max(interval.Microseconds(), 1))
 	}
-	if s.first <= l.c.FirstToken && own.ValueAtQuantile(95) <= l.c.Between.Microseconds() {
-		l.good++
+	if res.ttft <= l.cmd.FirstToken && requestIntervals.ValueAtQuantile(95) <= l.cmd.Between.Microseconds() {
+		l.withinTarget++
 	}
-	if s.usage != nil {
-		l.out.PromptTokens += s.usage.PromptTokens
-		l.out.Prefilled += s.usage.PromptTokens - s.usage.PromptDetails.CachedTokens
+	if res.usage != nil {
+		l.totals.PromptTokens += res.usage.PromptTokens
+		l.totals.Prefilled += res.usage.PromptTokens - res.usage.PromptDetails.CachedTokens
 	}
 }
 
-func (l *loader) report(took time.Duration) LoadReport {
+func (l *loadRun) report(elapsed time.Duration) LoadReport {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	r := l.out
-	r.FirstP50, r.FirstP95, r.FirstP99 = ms(l.first, 50), ms(l.first, 95), ms(l.first, 99)
-	r.BetweenP50, r.BetweenP95 = ms(l.between, 50), ms(l.between, 95)
-	r.RefusalP99 = ms(l.refusal, 99)
-	r.Within = float64(l.good) / float64(max(r.Sent, 1))
-	r.TokensPS = float64(l.tokens) / took.Seconds()
+	r := l.totals
+	r.FirstP50, r.FirstP95, r.FirstP99 = ms(l.ttft, 50), ms(l.ttft, 95), ms(l.ttft, 99)
+	r.BetweenP50, r.BetweenP95 = ms(l.tokenInterval, 50), ms(l.tokenInterval, 95)
+	r.RefusalP99 = ms(l.refusalLatency, 99)
+	r.Within = float64(l.withinTarget) / float64(max(r.Sent, 1))
+	r.TokensPS = float64(l.tokens) / elapsed.Seconds()
 	return r
 }
 
--- a/src/ctl/resources.go
+++ b/src/ctl/resources.go
@@ -27,7 +27,7 @@
 	DryRun  bool          `help:"Check on the server, change nothing."`
 }
 
-// Run applies every document, in order, and stops at the first that fails.
+// Run applies the documents of the file in order and stops at the first error.
 func (c *applyCmd) Run(g *globals) error {
 	docs, err := readDocuments(c.File)
 	if err != nil {
@@ -61,10 +61,10 @@
 		raw, err = os.ReadFile(file)
 	}
 	if err != nil {
-		return nil, fail(exitFailed, "read %s: %v", file, err)
+		return nil, exitErrorf(exitFailed, "read %s: %v", file, err)
 	}
 	var out []catalog.Resource
-	// UseJSONUnmarshaler lets the resources keep one set of field names.
+	// UseJSONUnmarshaler takes the field names from the JSON tags.
 	dec := yaml.NewDecoder(bytes.NewReader(raw), yaml.Strict(), yaml.UseJSONUnmarshaler())
 	for {
 		var r catalog.Resource
@@ -73,30 +73,31 @@
 			return out, nil
 		}
 		if err != nil {
-			return nil, fail(exitFailed, "%s: document %d: %s", file, len(out)+1, yaml.FormatError(err, false, true))
+			return nil, exitErrorf(exitFailed, "%s: document %d: %s", file, len(out)+1, yaml.FormatError(err, false, true))
 		}
 		if r.Kind == "" && r.Name == "" {
 			continue
 		}
 		if err := r.Validate(); err != nil {
-			return nil, fail(exitFailed, "%s: document %d (%s/%s): %v", file, len(out)+1, r.Kind, r.Name, err)
+			return nil, exitErrorf(exitFailed, "%s: document %d (%s/%s): %v", file, len(out)+1, r.Kind, r.Name, err)
 		}
 		out = append(out, r)
 	}
 }
 
-// apply makes one change. A lost answer is asked for again by the same change id.
+// apply creates or updates a resource. Retries send the same change ID, so the
+// change is made at most once.
 func (g *globals) apply(r catalog.Resource, dryRun bool) (catalog.Resource, error) {
 	path := "/v1/resources/" + string(r.Kind) + "/" + r.Name
 	version := r.Version
 	if version == 0 {
-		var have catalog.Resource
-		a, err := g.ask(http.MethodGet, path, nil, nil)
+		var current catalog.Resource
+		res, err := g.do(http.MethodGet, path, nil, nil)
 		if err != nil {
 			return r, err
 		}
-		if a.status == http.StatusOK && json.Unmarshal(a.body, &have) == nil {
-			version = have.Version
+		if res.status == http.StatusOK && json.Unmarshal(res.body, &current) == nil {
+			version = current.Version
 		}
 	}
 	r.Version, r.Changes = 0, nil
@@ -108,39 +109,39 @@
 		path += "?dry_run=true"
 	}
 	header := map[string]string{"If-Match": strconv.FormatInt(version, 10), "Crankridge-Change-Id": uuid.NewString()}
-	var a answer
-	for try := range sendTries {
-		if try > 0 {
+	var res response
+	for attempt := range maxAttempts {
+		if attempt > 0 {
 			time.Sleep(time.Second)
 		}
-		if a, err = g.ask(http.MethodPut, path, header, raw); err == nil && a.status != http.StatusServiceUnavailable {
+		if res, err = g.do(http.MethodPut, path, header, raw); err == nil && res.status != http.StatusServiceUnavailable {
 			break
 		}
 	}
 	if err != nil {
 		return r, err
 	}
-	if a.status != http.StatusOK {
-		return r, a.problem()
+	if res.status != http.StatusOK {
+		return r, res.toError()
 	}
 	var stored catalog.Resource
-	return stored, json.Unmarshal(a.body, &stored)
+	return stored, json.Unmarshal(res.body, &stored)
 }
 
 func (g *globals) waitInForce(version int64, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
-		var f operator.RolloutStatus
-		_, err := g.read("/v1/inforce?version="+strconv.FormatInt(version, 10), &f)
-		if err == nil && f.Have == f.Nodes && f.Nodes > 0 {
-			fmt.Printf("in force on all %d nodes\n", f.Nodes)
+		var rollout operator.RolloutStatus
+		_, err := g.getJSON("/v1/inforce?version="+strconv.FormatInt(version, 10), &rollout)
+		if err == nil && rollout.Have == rollout.Nodes && rollout.Nodes > 0 {
+			fmt.Printf("in force on all %d nodes\n", rollout.Nodes)
 			return nil
 		}
 		if time.Now().After(deadline) {
 			if err != nil {
 				return err
 			}
-			return fail(exitLagging, "accepted, but in force on %d of %d nodes only; lagging: %s", f.Have, f.Nodes, strings.Join(f.Lagging, ", "))
+			return exitErrorf(exitNotRolledOut, "accepted, but in force on %d of %d nodes only; lagging: %s", rollout.Have, rollout.Nodes, strings.Join(rollout.Lagging, ", "))
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -171,11 +172,11 @@
 	path := "/v1/resources/" + kind
 	if name == "" {
 		var list []catalog.Resource
-		_, err := g.read(path, &list)
+		_, err := g.getJSON(path, &list)
 		return list, err
 	}
 	var one catalog.Resource
-	_, err := g.read(path+"/"+name, &one)
+	_, err := g.getJSON(path+"/"+name, &one)
 	return []catalog.Resource{one}, err
 }
 
@@ -230,8 +231,8 @@
 	Name string `arg:""`
 }
 
-// Run prints a resource with its version: applying it fails if somebody
-// changed the resource meanwhile.
+// Run prints a resource with its version, so that applying it fails if the
+// resource was changed in the meantime.
 func (c *editCmd) Run(g *globals) error {
 	list, err := g.resources(c.Kind, c.Name)
 	if err != nil {
@@ -256,12 +257,12 @@
 		}
 		version = list[0].Version
 	}
-	a, err := g.ask(http.MethodDelete, "/v1/resources/"+c.Kind+"/"+c.Name, map[string]string{"If-Match": strconv.FormatInt(version, 10)}, nil)
+	res, err := g.do(http.MethodDelete, "/v1/resources/"+c.Kind+"/"+c.Name, map[string]string{"If-Match": strconv.FormatInt(version, 10)}, nil)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusOK {
-		return a.problem()
+	if res.status != http.StatusOK {
+		return res.toError()
 	}
 	fmt.Printf("%s/%s deleted\n", c.Kind, c.Name)
 	return nil
--- a/src/ctl/send.go
+++ b/src/ctl/send.go
@@ -28,11 +28,11 @@
 	Text          string `arg:"" optional:"" help:"Prompt, or body of the service call."`
 }
 
-// Run sends one request. A stream that breaks is taken up at another address
-// where it stopped.
+// Run sends one request. A stream that breaks is resumed at the next address
+// after the last event received.
 func (c *sendCmd) Run(g *globals) error {
 	if (c.Model == "") == (c.Service == "") {
-		return fail(2, "give either --model or --service")
+		return exitErrorf(2, "give either --model or --service")
 	}
 	if c.RequestKey == "" {
 		c.RequestKey = request.IssueKey(time.Now())
@@ -44,63 +44,64 @@
 			addrs = append(addrs, a.Address)
 		}
 	}
-	s := sender{g: g, cmd: c}
+	s := sender{globals: g, cmd: c}
 	var err error
-	for try := range sendTries {
-		var again time.Duration
-		if again, err = s.once(addrs[try%len(addrs)], try); err == nil || again < 0 {
+	for attempt := range maxAttempts {
+		var retryAfter time.Duration
+		if retryAfter, err = s.attempt(addrs[attempt%len(addrs)], attempt); err == nil || retryAfter < 0 {
 			return err
 		}
-		time.Sleep(again)
+		time.Sleep(retryAfter)
 	}
 	return err
 }
 
 type sender struct {
-	g    *globals
-	cmd  *sendCmd
-	last string // id of the last event printed
+	globals     *globals
+	cmd         *sendCmd
+	lastEventID string // id of the last event printed
 }
 
-// once sends one try; again tells after how long the next may come, below 0 for never.
-func (s *sender) once(addr string, try int) (again time.Duration, err error) {
+// attempt sends the request once. On error, a negative retryAfter means not to retry.
+func (s *sender) attempt(addr string, attempt int) (retryAfter time.Duration, err error) {
 	path, body := s.cmd.request()
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return -1, err
 	}
 	req.GetBody = nil
-	req.Header.Set("Authorization", "Bearer "+s.g.Key)
+	req.Header.Set("Authorization", "Bearer "+s.globals.Key)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Idempotency-Key", s.cmd.RequestKey)
-	req.Header.Set("Crankridge-Attempt", strconv.Itoa(try+1))
+	req.Header.Set("Crankridge-Attempt", strconv.Itoa(attempt+1))
 	if s.cmd.NotRepeatable {
 		req.Header.Set("Crankridge-Repeatable", "false")
 	}
-	if s.last != "" {
-		req.Header.Set("Last-Event-ID", s.last)
+	if s.lastEventID != "" {
+		req.Header.Set("Last-Event-ID", s.lastEventID)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return time.Second, fail(exitUnsure, "%s broke off: %v", addr, err)
+		return time.Second, exitErrorf(exitOutcomeUnknown, "request to %s failed: %v", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return s.refused(resp)
+		return s.refusal(resp)
 	}
 	if s.cmd.Service != "" {
 		_, err = io.Copy(os.Stdout, resp.Body)
 		return -1, err
 	}
-	return s.print(resp.Body)
+	return s.printStream(resp.Body)
 }
 
-func (s *sender) refused(resp *http.Response) (time.Duration, error) {
+// refusal converts an error response to an error and the delay before a retry.
+func (s *sender) refusal(resp *http.Response) (time.Duration, error) {
 	raw, _ := io.ReadAll(resp.Body)
 	outcome := resp.Header.Get("Crankridge-Outcome")
-	err := fail(exitFailed, "%d, outcome %s, key %s: %s", resp.StatusCode, outcome, s.cmd.RequestKey, strings.TrimSpace(string(raw)))
-	ms, e := strconv.Atoi(resp.Header.Get("Retry-After-Ms"))
-	if e != nil {
+	err := exitErrorf(exitFailed, "%d, outcome %s, key %s: %s", resp.StatusCode, outcome, s.cmd.RequestKey, strings.TrimSpace(string(raw)))
+	ms, parseErr := strconv.Atoi(resp.Header.Get("Retry-After-Ms"))
+	if parseErr != nil {
 		return -1, err
 	}
 	return time.Duration(ms) * time.Millisecond, err
@@ -117,11 +118,11 @@
 	return "/v1/chat/completions", body
 }
 
-// print shows a stream as it comes.
-func (s *sender) print(body io.Reader) (time.Duration, error) {
+// printStream prints the tokens of a stream as they arrive.
+func (s *sender) printStream(body io.Reader) (time.Duration, error) {
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
-			return time.Second, fail(exitUnsure, "stream broke: %v", err)
+			return time.Second, exitErrorf(exitOutcomeUnknown, "stream broke: %v", err)
 		}
 		if ev.Data == openai.Done {
 			fmt.Println()
@@ -135,14 +136,14 @@
 			return -1, err
 		}
 		if chunk.Error != nil {
-			return time.Second, fail(exitUnsure, "%s", chunk.Error.Message)
+			return time.Second, exitErrorf(exitOutcomeUnknown, "%s", chunk.Error.Message)
 		}
 		for _, ch := range chunk.Choices {
 			if ch.Delta != nil {
 				fmt.Print(ch.Delta.Content)
 			}
 		}
-		s.last = ev.LastEventID
+		s.lastEventID = ev.LastEventID
 	}
-	return time.Second, errors.New("stream ended before its end mark")
+	return time.Second, errors.New("stream ended without [DONE]")
 }
