--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# make demo   builds and runs everything on loopback
-# make test   runs all tests
+# make demo      builds everything and runs the demo on loopback
+# make test      runs all tests
+# make check     runs what CI runs
 .PHONY: build demo test check measure capacity
 
 build:
@@ -14,16 +15,16 @@
 check:
 	.ci/run
 
-# make measure   the tables of docs/design (a quarter of an hour)
-# make capacity  the table of docs/CAPACITY.md (ten minutes)
+# make measure   runs the measurements for docs/design (about 15 minutes)
+# make capacity  runs the measurement for docs/CAPACITY.md (about 10 minutes)
 measure:
 	go test -tags measure ./test -run 'Measure(Added|Claim|Path|Routing|Overload|Wave)' -v -timeout 40m
 
 capacity:
 	go test -tags measure ./test -run MeasureCapacity -v -timeout 30m
 
-# make days      plays test/days on both sites where the users' bench is present:
-#                BENCH is its program, SITES are its site files
+# make days      runs the scenarios of test/days with the benchmark program BENCH
+#                on each site file in SITES
 .PHONY: days
 days:
 	@for site in $(SITES); do for day in test/days/*.toml; do \
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts crankridge on loopback with fakes of the outside services, sends a
-# chat request and a booking, shows what happened, and stops. With KEEP=1 it
+# Starts crankridge on loopback with fakes of the external services, sends a
+# chat request and a service call, prints the status and stops. With KEEP=1 it
 # keeps running until Ctrl-C.
 set -eu
 cd "$(dirname "$0")/.."
@@ -25,31 +25,31 @@
   bin/crank-entry -s demo/entry-$i.yaml 2>"$run/entry-$i.log" & pids+=($!)
   bin/crank-control -s demo/control-$i.yaml 2>"$run/control-$i.log" & pids+=($!)
 done
-until_ok() { # what, command: waits up to 30 s
-  local what=$1; shift
+wait_for() { # description, command: retries the command for about 30 s
+  local description=$1; shift
   for _ in $(seq 150); do
-    if "$@" >"$run/last.out" 2>&1; then echo "== $what"; return; fi
+    if "$@" >"$run/last.out" 2>&1; then echo "== $description"; return; fi
     sleep 0.2
   done
-  echo "not so after 30 s: $what"; cat "$run/last.out"; exit 1
+  echo "timed out after 30 s: $description"; cat "$run/last.out"; exit 1
 }
-three_nodes() { [ "$(bin/crankctl status | grep -c '^node-')" = 3 ]; }
-until_ok "three nodes are there" three_nodes
+all_nodes_listed() { [ "$(bin/crankctl status | grep -c '^node-')" = 3 ]; }
+wait_for "three nodes are listed" all_nodes_listed
 bin/crankctl apply -f demo/resources.yaml --wait
 sed -e "s/@START@/$(date -u -d '+1 minute' +%FT%TZ)/" -e "s/@END@/$(date -u -d '+1 hour' +%FT%TZ)/" demo/event.yaml >"$run/event.yaml"
 bin/crankctl apply -f "$run/event.yaml" --wait
 event_ready() { bin/crankctl status | grep -E 'saturday-rides +(Ready|InForce)'; }
-until_ok "the event is ready, before its start" event_ready
-for a in 7101 7201 7301; do until_ok "node at $a serves" curl -fsS "http://127.0.0.1:$a/readyz"; done
-echo "== a ride leader asks for a narrative"
+wait_for "the event is ready before its start" event_ready
+for a in 7101 7201 7301; do wait_for "node at $a is ready" curl -fsS "http://127.0.0.1:$a/readyz"; done
+echo "== chat request of the customer ride-leaders"
 bin/crankctl --key demo-ride-key send --model climb --max-tokens 40 "Describe the climb to the pass for my Saturday group."
-echo "== a receptionist books a chair; this must run at most once"
+echo "== booking of the customer clinics, which must run at most once"
 bin/crankctl --key demo-clinic-key send --service booking --path /chairs/3 --not-repeatable --request-key booking-42 '{"patient":"A. M.","at":"08:20"}'
-echo "== the same booking again, as after a lost answer: the first answer comes back"
+echo "== retry with the same request key, as after a lost response: returns the first response"
 bin/crankctl --key demo-clinic-key send --service booking --path /chairs/3 --not-repeatable --request-key booking-42 '{"patient":"A. M.","at":"08:20"}'
-echo "== how often the service ran it"
+echo "== executions of each request key, counted by the service"
 curl -fsS http://127.0.0.1:7021/admin/runs
-echo "== what stands where"
+echo "== status"
 bin/crankctl status
 if [ "${KEEP:-}" = 1 ]; then
   echo "== running until Ctrl-C; try: CRANKRIDGE_TOKEN=demo-operator bin/crankctl --control 127.0.0.1:7103 status"
