--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -17,12 +17,12 @@
 const (
 	exchangeInterval  = 250 * time.Millisecond
 	callTimeout       = 800 * time.Millisecond
-	fanout            = 8  // peers contacted per round
-	minKnownNodes     = 3  // with fewer known nodes, all seeds are contacted as well
-	roundsPerSeed     = 8  // rounds between contacts with a seed once enough nodes are known
-	maxRelayedRecords = 12 // records of other nodes in one message
-	maxIdlePerPeer    = 2
-	idleTimeout       = 10 * time.Second
+	fanout            = 8                // peers contacted per round
+	minKnownNodes     = 3                // with fewer other nodes known, all seeds are contacted as well
+	roundsPerSeed     = 8                // rounds between contacts with a seed once enough nodes are known
+	maxRelayedRecords = 12               // records of other nodes in one message
+	maxIdlePerPeer    = 2                // connections
+	idleTimeout       = 10 * time.Second // of a connection
 )
 
 // Node exchanges records and store changes with other nodes. Set the exported
@@ -32,7 +32,7 @@
 	View    *view.View
 	Own     func() *Record // returns this node's current record
 	Seeds   func() []string
-	Entries func() []Entry // nodes that are stored, including this one
+	Entries func() []Entry // nodes with an entry in the store, including this one
 	// NeedsAllRecords reports whether this node needs the records of all other
 	// nodes even if none requests a summary from it. nil means never.
 	NeedsAllRecords func() bool
--- a/src/cluster/hub.go
+++ b/src/cluster/hub.go
@@ -19,7 +19,7 @@
 	avoidPeriod      = 3 * time.Second        // a node is not selected as a hub for this long after a failed call
 )
 
-// Entry is the stored address of a node.
+// Entry is the address of a node as registered in the store.
 type Entry struct {
 	Node          string
 	FailureDomain string
--- a/src/cluster/hub_test.go
+++ b/src/cluster/hub_test.go
@@ -92,7 +92,7 @@
 		is.Equal(node.Members.Count(), len(c.nodes))
 		is.Equal(s.Admitted[0].Total, 10.0*float64(len(c.nodes)-1)) // all nodes but itself
 		is.Equal(int(s.Heavy[0].Requests), len(c.nodes)-1)
-		is.True(len(node.Members.Callers(64)) >= len(c.nodes)/4)
+		is.True(len(node.Members.ClientAddresses(64)) >= len(c.nodes)/4)
 	}
 }
 
--- a/src/cluster/members.go
+++ b/src/cluster/members.go
@@ -1,7 +1,7 @@
 // Package cluster distributes each gateway node's record, and changes of the store,
 // among the nodes: directly, or relayed by others for nodes that cannot reach each
-// other. The records steer work and divide limits; they never decide which node
-// holds the duties.
+// other. The records are used to balance load and to divide limits. Which node
+// performs the duties never depends on them; a lease in the store decides it.
 package cluster
 
 import (
@@ -144,8 +144,8 @@
 	return &Known{Node: r.GetNode(), Incarnation: known.Record.Incarnation, Sequence: known.Record.Sequence}
 }
 
-// Lacking returns up to limit members whose records are newer than those known to
-// peer.
+// Lacking returns up to limit members whose records peer does not know, or knows
+// only in a version that lags by more than relayLagThreshold.
 func (m *Members) Lacking(known []*Known, peer string, limit int) []Member {
 	have := make(map[string]*Known, len(known))
 	for _, k := range known {
--- a/src/cluster/members_test.go
+++ b/src/cluster/members_test.go
@@ -122,9 +122,9 @@
 		a.Members.Others(aliveTimeout)
 		b.Members.Others(aliveTimeout)
 		for _, pair := range [][2]*Node{{a, b}, {b, a}} {
-			answer, err := pair[1].Exchange(context.Background(), pair[0].newRequest(Scope_LACKING))
+			reply, err := pair[1].Exchange(context.Background(), pair[0].newRequest(Scope_LACKING))
 			is.NoErr(err)
-			pair[0].mergeMessage(answer, now)
+			pair[0].mergeMessage(reply, now)
 		}
 		for _, r := range append(a.Members.Alive(), b.Members.Alive()...) {
 			if r.Node == "gone" && now.After(time.Unix(1000, 0).Add(2*aliveTimeout)) {
@@ -166,9 +166,9 @@
 		hub, again := node("hub", 7), node("again", 500)
 		hub.Members.Merge(&Record{Node: "again", Incarnation: 900, Sequence: 4000})
 		for range 2 {
-			answer, err := hub.Exchange(context.Background(), again.newRequest(scope))
+			reply, err := hub.Exchange(context.Background(), again.newRequest(scope))
 			is.NoErr(err)
-			again.mergeMessage(answer, time.Now())
+			again.mergeMessage(reply, time.Now())
 		}
 		is.Equal(hub.Members.Others(time.Minute)[0].Incarnation, int64(901))
 		is.True(hub.Members.Others(time.Minute)[0].Sequence < 4000)
--- a/src/cluster/summary.go
+++ b/src/cluster/summary.go
@@ -15,37 +15,37 @@
 	aggregatesTTL      = 50 * time.Millisecond // age up to which aggregates are reused for further summaries
 	maxHeavyServers    = 64                    // servers listed individually
 	maxClientAddresses = 32                    // in one summary
-	clientAddressTTL   = 3 * time.Second
+	clientAddressTTL   = 3 * time.Second       // age up to which an address from a summary is used
 )
 
 // aggregates are totals over the records of all members, shared by summaries.
 type aggregates struct {
 	at       time.Time
-	records  map[string]*Record // by node, those that are included
+	records  map[string]*Record // by node, those heard from within countedTimeout
 	admitted map[string]float64 // by customer, including earlier incarnations
-	heavy    []serverLoad       // servers with the most unread tokens and requests
+	heavy    []serverLoad       // servers with the most pending prefill, then the most requests
 	// Means over the servers that are not in heavy.
-	meanRequests, meanUnread float32
-	clientAddresses          []string
+	meanRequests, meanPendingPrefill float32
+	clientAddresses                  []string
 }
 
 // serverLoad is the load that all nodes together place on a server.
 type serverLoad struct {
-	server   string
-	requests int32
-	unread   int64 // prompt tokens
+	server         string
+	requests       int32
+	pendingPrefill int64 // prompt tokens not known to be processed (Load.unread_tokens)
 }
 
 // hubSummary is a summary received from a hub.
 type hubSummary struct {
 	summary *Summary
-	hub     string
+	hub     string // its name and incarnation
 	at      time.Time
 	agreed  time.Duration // the hub's agreed time minus this node's steady time
 }
 
-// Summary returns the last summary received from a hub, the hub and its incarnation,
-// and when it was received. ok is false if it is older than summaryTTL.
+// Summary returns the last summary received from a hub, the name and incarnation of
+// the hub, and when it was received. ok is false if it is older than summaryTTL.
 func (m *Members) Summary() (summary *Summary, hub string, at time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +57,8 @@
 func (m *Members) SetSummary(hubRecord *Record, s *Summary, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// A restarted hub has lost its totals, so its sums are not comparable.
+	// A restarted hub has lost its totals, so its sums are not comparable with earlier
+	// ones.
 	hub := fmt.Sprintf("%s/%d", hubRecord.GetNode(), hubRecord.GetIncarnation())
 	m.hubSummary = hubSummary{s, hub, m.now(), time.UnixMicro(s.AgreedUs).Sub(m.steadyTime(at))}
 	for _, address := range s.Callers {
@@ -70,8 +71,9 @@
 	}
 }
 
-// Callers returns up to limit addresses of other nodes that clients may be sent to.
-func (m *Members) Callers(limit int) []string {
+// ClientAddresses returns up to limit addresses of other nodes that clients may be
+// sent to.
+func (m *Members) ClientAddresses(limit int) []string {
 	var out []string
 	for _, r := range m.Alive() {
 		out = append(out, r.Callers)
@@ -87,9 +89,9 @@
 	return out[:min(len(out), limit)]
 }
 
-// Summarize returns the summary for the node asker: totals over all nodes, less its
-// own part.
-func (m *Members) Summarize(asker string, now time.Time) *Summary {
+// Summarize returns the summary for the node requester: totals over all nodes, less
+// its own part.
+func (m *Members) Summarize(requester string, now time.Time) *Summary {
 	agreed := m.AgreedTime(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +99,7 @@
 		m.aggregates = m.sum()
 	}
 	out := &Summary{Nodes: int32(len(m.aggregates.records)), AgreedUs: agreed.UnixMicro()}
-	own := m.aggregates.records[asker]
+	own := m.aggregates.records[requester]
 	admitted := map[string]float64{}
 	for _, t := range own.GetAdmitted() {
 		admitted[t.Name] = t.Total
@@ -106,7 +108,7 @@
 		out.Admitted = append(out.Admitted, &Tally{Name: customer, Total: total - admitted[customer]})
 	}
 	out.Heavy = subtractOwn(m.aggregates.heavy, own.GetLoads())
-	out.MeanRequests, out.MeanUnread = m.aggregates.meanRequests, m.aggregates.meanUnread
+	out.MeanRequests, out.MeanUnread = m.aggregates.meanRequests, m.aggregates.meanPendingPrefill
 	for range min(maxClientAddresses, len(m.aggregates.clientAddresses)) {
 		out.Callers = append(out.Callers, m.aggregates.clientAddresses[rand.IntN(len(m.aggregates.clientAddresses))])
 	}
@@ -139,32 +141,32 @@
 		for _, load := range r.Loads {
 			sum := loads[load.Server]
 			sum.requests += load.Requests
-			sum.unread += load.UnreadTokens
+			sum.pendingPrefill += load.UnreadTokens
 			loads[load.Server] = sum
 		}
 	}
-	out.heavy, out.meanRequests, out.meanUnread = heaviest(loads)
+	out.heavy, out.meanRequests, out.meanPendingPrefill = heaviest(loads)
 	return out
 }
 
-// heaviest returns the servers with the most unread tokens and requests, and the
-// means over the remaining ones.
-func heaviest(loads map[string]serverLoad) (heavy []serverLoad, requests, unread float32) {
+// heaviest returns the servers with the most pending prefill, then the most requests,
+// and the means over the remaining ones.
+func heaviest(loads map[string]serverLoad) (heavy []serverLoad, requests, pendingPrefill float32) {
 	all := make([]serverLoad, 0, len(loads))
 	for id, load := range loads {
 		load.server = id
 		all = append(all, load)
 	}
 	slices.SortFunc(all, func(a, b serverLoad) int {
-		return cmp.Or(cmp.Compare(b.unread, a.unread), cmp.Compare(b.requests, a.requests), cmp.Compare(a.server, b.server))
+		return cmp.Or(cmp.Compare(b.pendingPrefill, a.pendingPrefill), cmp.Compare(b.requests, a.requests), cmp.Compare(a.server, b.server))
 	})
 	heavy = all[:min(len(all), maxHeavyServers)]
 	rest := all[len(heavy):]
 	for _, load := range rest {
 		requests += float32(load.requests) / float32(len(rest))
-		unread += float32(load.unread) / float32(len(rest))
+		pendingPrefill += float32(load.pendingPrefill) / float32(len(rest))
 	}
-	return heavy, requests, unread
+	return heavy, requests, pendingPrefill
 }
 
 // subtractOwn returns the loads less the part that the requesting node placed.
@@ -178,7 +180,7 @@
 		out = append(out, &Load{
 			Server:       load.server,
 			Requests:     max(load.requests-ownLoads[load.server].GetRequests(), 0),
-			UnreadTokens: max(load.unread-ownLoads[load.server].GetUnreadTokens(), 0),
+			UnreadTokens: max(load.pendingPrefill-ownLoads[load.server].GetUnreadTokens(), 0),
 		})
 	}
 	return out
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -1,5 +1,6 @@
-// Package duty implements the duties that one node performs for the whole
-// system: it holds their lease, reports usage and orders servers.
+// Package duty implements the duties that one node at a time performs for the
+// whole system: reporting usage and ordering servers. A lease in the store
+// selects that node.
 package duty
 
 import (
@@ -17,7 +18,7 @@
 // Lease timing.
 const (
 	renewalsPerLease = 4
-	CallTimeout      = 700 * time.Millisecond // for a call made under a term
+	CallTimeout      = 700 * time.Millisecond // for the store or platform calls of one operation
 	safetyMargin     = 0.35                   // final fraction of the lease in which its holder starts no more calls
 	closeMargin      = 200 * time.Millisecond // added to the TTL for which a lease must be held before Close revokes it
 )
@@ -38,7 +39,8 @@
 	Revoke(ctx context.Context, id int64) error
 }
 
-// Lease acquires and renews the lease of the duties for one node.
+// Lease acquires and renews, on behalf of one node, the lease that entitles its
+// holder to perform the duties.
 type Lease struct {
 	store  Store
 	key    string
--- a/src/duty/usage.go
+++ b/src/duty/usage.go
@@ -10,18 +10,19 @@
 	"k8s.io/klog/v2"
 )
 
-// Timing of usage reports, relative to the end of a window.
+// Timing of usage reports. The settle delays run from the end of a window until it
+// is reported.
 const (
 	minSettleDelay      = 700 * time.Millisecond  // used when all nodes have been heard from recently
 	maxSettleDelay      = 2500 * time.Millisecond // allows for nodes that are silent
-	retryPeriod         = 4 * time.Second         // after a report is due
-	reportedWindowsKept = 8
-	sealRetention       = 6 // windows after which a seal is deleted
+	retryPeriod         = 4 * time.Second         // a report is retried for this long after it is due
+	reportedWindowsKept = 8                       // windows before the oldest retried one that stay in reported
+	sealRetention       = 6                       // number of windows after which a seal is deleted
 )
 
-// Ledger holds the number of runs counted by each node, by window and customer.
-// Counts are cumulative within an incarnation of a node, so they may be merged
-// repeatedly and in any order.
+// Ledger holds the number of executed requests counted by each node, by window and
+// customer. Counts are cumulative within an incarnation of a node, so they may be
+// merged repeatedly and in any order.
 type Ledger struct {
 	mu     sync.Mutex
 	counts map[int64]map[usageKey]int64
@@ -36,8 +37,8 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{counts: map[int64]map[usageKey]int64{}} }
 
-// Merge records a node's cumulative count for a window. Of several, the highest
-// counts.
+// Merge records a node's cumulative count for a window. The highest of several
+// counts is kept.
 func (l *Ledger) Merge(node string, incarnation, window int64, customer string, count int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,7 @@
 	windowCounts[key] = max(windowCounts[key], count)
 }
 
-// Sum returns the number of runs in a window by customer.
+// Sum returns the number of executed requests in a window by customer.
 func (l *Ledger) Sum(window int64) map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/duty/usage_test.go
+++ b/src/duty/usage_test.go
@@ -70,7 +70,7 @@
 		u.Ledger.Merge("n", 1, 200, "customer", counted)
 		return u
 	}
-	first, second := newReporter("a", 10), newReporter("b", 12) // b has learned of two more runs
+	first, second := newReporter("a", 10), newReporter("b", 12) // b has learned of two more requests
 	store.now = time.Unix(1008, 0)                              // window 200 ended at 1005
 	first.Lease.Step(context.Background(), false)
 	first.Step(context.Background()) // sealed and sent, but the response was lost
--- a/src/gateway/choose.go
+++ b/src/gateway/choose.go
@@ -12,7 +12,7 @@
 // Weights of the load estimate.
 const (
 	failureWeight    = 8.0   // requests added to the load of a server whose failure rate is 1
-	tokensPerRequest = 150.0 // prefill cost that one running request is equivalent to
+	tokensPerRequest = 150.0 // prefill tokens that one running request is equivalent to
 	prefillWeight    = 1.5   // uncached tokens weigh more than queued ones: prefilling them delays other requests too
 )
 
@@ -80,7 +80,7 @@
 // prompt describes a prompt for engine selection.
 type prompt struct {
 	parts  []promptPart
-	tokens int64 // total of all parts
+	tokens int64 // length of the whole prompt
 	// mayHold reports whether a server is likely to have a part cached.
 	mayHold func(server, part string) bool
 }
@@ -106,7 +106,7 @@
 	if len(list) == 0 {
 		return candidate{}, 0, false
 	}
-	owner := ""
+	owner := "" // the candidate that the last shared part is assigned to
 	if len(p.parts) >= 2 {
 		owner = rendezvousOwner(list, p.parts[len(p.parts)-2].id).id
 	}
--- a/src/gateway/client_request.go
+++ b/src/gateway/client_request.go
@@ -15,7 +15,7 @@
 type clientRequest struct {
 	id            string
 	route         *traffic.Route
-	customer      *traffic.Customer // nil on public routes
+	customer      *traffic.Customer // nil on public routes and if no customers are configured
 	service       string
 	request       *http.Request
 	body          []byte
@@ -23,8 +23,8 @@
 	deadline      time.Time
 	routeDeadline time.Time
 	promptParts   []promptPart
-	tokensIn      int64
-	tokensOut     int64
+	tokensIn      int64 // prompt tokens stated by the client
+	tokensOut     int64 // maximum output tokens stated by the client
 	queuedTokens  int64 // prefill backlog of the chosen engine, in tokens
 	hasTokenCount bool
 	priority      int
--- a/src/gateway/node.go
+++ b/src/gateway/node.go
@@ -44,11 +44,11 @@
 	storeCheckInterval = 3 * time.Second
 	watchLagLimit      = 700 * time.Millisecond // time for a watch to deliver a change that a read has seen
 	drainPeriod        = 3 * time.Second        // from the stop signal until new requests are refused
-	stopMargin         = 400 * time.Millisecond
+	stopMargin         = 400 * time.Millisecond // left of the grace period when the node stops waiting for requests
 	clientIdleTimeout  = 2 * time.Minute
 	headerTimeout      = 30 * time.Second
 	maxHeaderBytes     = 64 << 10
-	maxAddresses       = 64
+	maxAddresses       = 64 // returned to a client
 )
 
 // Node is one gateway process.
@@ -338,7 +338,7 @@
 	if !n.stopping() {
 		addresses = append(addresses, n.initial.Listen.Callers)
 	}
-	addresses = append(addresses, n.members.Callers(maxAddresses-1)...)
+	addresses = append(addresses, n.members.ClientAddresses(maxAddresses-1)...)
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -46,7 +46,7 @@
 		header[name] = values
 	}
 	if _, ok := header["Date"]; !ok {
-		header["Date"] = nil
+		header["Date"] = nil // keeps net/http from adding its own
 	}
 	if !keepLength {
 		header.Del("Content-Length")
--- a/src/gateway/scale.go
+++ b/src/gateway/scale.go
@@ -23,9 +23,9 @@
 type scaler struct {
 	mu             sync.Mutex
 	meters         map[string]*capacity.DemandMeter // of this node, by service
-	peaks          map[string]*capacity.RollingMax
-	hadDemand      map[string]bool // whether the last step saw demand
-	initialServers map[string]int  // highest number of servers of a service before the first demand
+	peaks          map[string]*capacity.RollingMax  // of the required servers, by service
+	hadDemand      map[string]bool                  // whether the last step saw demand
+	initialServers map[string]int                   // highest number of servers of a service before the first demand
 }
 
 func newScaler() *scaler {
--- a/src/gateway/send.go
+++ b/src/gateway/send.go
@@ -102,7 +102,7 @@
 const maxDrainBytes = 4 << 10
 
 // upstreamRequest builds the request to a server. net/http must not retry it on
-// its own once it was written: the body cannot be rewound, and the headers that
+// its own once it has been written: the body cannot be rewound, and the headers that
 // mark a request as idempotent are sent under a non-canonical name.
 func (n *Node) upstreamRequest(ctx context.Context, req *clientRequest, s *upstream, lastEventID string) *http.Request {
 	in := req.request
--- a/src/gateway/settings.go
+++ b/src/gateway/settings.go
@@ -31,17 +31,17 @@
 
 // Listeners holds the listen addresses (host:port). Optional ones may be empty.
 type Listeners struct {
-	Callers   string
-	Ready     string
-	Peers     string
-	Directory string
+	Callers   string // client requests
+	Ready     string // readiness probes of the platform
+	Peers     string // other nodes
+	Directory string // queries for the addresses of the nodes
 	Metrics   string
 }
 
 // RetryLimits bounds the retries of all nodes together.
 type RetryLimits struct {
 	Ratio  float64 // retries per request within a window
-	Extra  float64 // retries allowed beyond the ratio
+	Extra  float64 // retries allowed per window beyond the ratio
 	Window time.Duration
 }
 
@@ -49,7 +49,7 @@
 type QuotaLimits struct {
 	Window  time.Duration // the burst may be used once per window
 	Overage float64       // allowed excess per window, as a fraction of rate and burst
-	Slack   float64       // allowed excess beyond that per window
+	Slack   float64       // allowed excess per window beyond that, in requests or tokens
 }
 
 // DutyLimits configures the duties that one node at a time performs.
--- a/src/gateway/stalled_conns.go
+++ b/src/gateway/stalled_conns.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	stalledWindow   = 2 * time.Second
-	minStalledPeers = 2 // a single peer may just have been suspended or restarted
+	stalledWindow   = 2 * time.Second // stalls of different peers within this time have a common cause
+	minStalledPeers = 2               // a single peer may just have been suspended or restarted
 )
 
 // stalledConnDetector records peers whose pooled connections have stalled while
--- a/src/gateway/state.go
+++ b/src/gateway/state.go
@@ -45,8 +45,8 @@
 }
 
 const (
-	hubUpdateMaxAge  = 1500 * time.Millisecond
-	nonHubLeaseDelay = 5 * time.Second // uptime after which a node that is not a hub may acquire the duty lease
+	hubUpdateMaxAge  = 1500 * time.Millisecond // age of the last summary up to which a hub is assumed to forward store changes
+	nonHubLeaseDelay = 5 * time.Second         // uptime after which a node that is not a hub may acquire the duty lease
 )
 
 // applyPeerState updates limits and loads from the records of the other nodes,
--- a/src/gateway/upstreams.go
+++ b/src/gateway/upstreams.go
@@ -21,8 +21,8 @@
 	dialTimeout        = 400 * time.Millisecond
 	defaultIdleTimeout = 3 * time.Second         // for servers that have not sent a Keep-Alive timeout
 	idleTimeoutMargin  = 1500 * time.Millisecond // close idle connections this long before the server does
-	maxIdlePerServer   = 64
-	minEjection        = 500 * time.Millisecond
+	maxIdlePerServer   = 64                      // connections
+	minEjection        = 500 * time.Millisecond  // doubled with each further failure, up to maxEjection
 	maxEjection        = 4 * time.Second
 	failuresToEject    = 3
 	failureRateDecay   = 0.8 // weight of the previous rate in the moving average
--- a/src/gateway/usage.go
+++ b/src/gateway/usage.go
@@ -20,7 +20,7 @@
 	customer string
 }
 
-const maxUsageWindows = 5
+const maxUsageWindows = 5 // kept besides the current window
 
 func newUsageCounter(window time.Duration, clock func() time.Time) *usageCounter {
 	return &usageCounter{window: window, clock: clock, counts: map[usageKey]int64{}}
@@ -34,7 +34,7 @@
 	u.mu.Unlock()
 }
 
-// recent returns the counts of the last windows and drops older ones.
+// recent returns the counts of the windows that are kept and drops older ones.
 func (u *usageCounter) recent() map[usageKey]int64 {
 	oldest := duty.WindowIndex(u.clock(), u.window) - maxUsageWindows
 	u.mu.Lock()
