--- a/src/capacity/demand.go
+++ b/src/capacity/demand.go
@@ -34,9 +34,9 @@
 	m.updatedAt = now
 }
 
-// RecordPrefill records the time to the first event of a prompt. The estimate
-// tracks a high quantile because prompts that were queued give too low a rate
-// and cached ones too high a rate.
+// RecordPrefill records the time from sending a prompt to the first event of the
+// answer. The estimate tracks a high quantile because prompts that were queued
+// give too low a rate and cached ones too high a rate.
 func (m *DemandMeter) RecordPrefill(tokens int64, duration time.Duration) {
 	if tokens < minSampleTokens || duration <= 0 {
 		return
@@ -83,21 +83,22 @@
 	at    time.Time
 }
 
-// Add adds a value and returns the maximum of those not older than peakWindow.
-func (p *RollingMax) Add(value int, now time.Time) int {
-	kept := p.samples[:0]
-	for _, v := range p.samples {
+// Add adds a value and returns the maximum of those younger than peakWindow.
+func (m *RollingMax) Add(value int, now time.Time) int {
+	kept := m.samples[:0]
+	for _, s := range m.samples {
 		// A value that is not above a later one can no longer be the maximum.
-		if now.Sub(v.at) < peakWindow && v.value > value {
-			kept = append(kept, v)
+		if now.Sub(s.at) < peakWindow && s.value > value {
+			kept = append(kept, s)
 		}
 	}
-	p.samples = append(kept, sample{value, now})
-	return p.samples[0].value
+	m.samples = append(kept, sample{value, now})
+	return m.samples[0].value
 }
 
 // RequiredServers returns the number of servers for a demand: unshared prompt
-// tokens per second, requests in progress, slots per server, and prefill rate.
+// tokens per second, requests in progress, slots per server, and the prefill rate
+// of a server in tokens per second. Zero slots or a zero rate mean unknown.
 func RequiredServers(tokenRate, running float64, slots int, prefillRate float64) int {
 	if prefillRate <= 0 {
 		prefillRate = defaultPrefillRate
--- a/src/capacity/plan.go
+++ b/src/capacity/plan.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	onDemandFraction = 0.2  // minimum share of on-demand servers
-	spotHeadroom     = 0.25 // extra spot servers, to cover the loss of about one failure domain
+	onDemandFraction = 0.2  // on-demand servers that are always kept, as a fraction of the need
+	spotHeadroom     = 0.25 // extra spot servers, as a fraction of the need, to cover the loss of a failure domain
 )
 
 // Supply counts the running servers of a failure domain.
@@ -22,7 +22,7 @@
 	Spot     int
 }
 
-// SupplyOf counts the servers that are not draining by failure domain.
+// SupplyOf counts, by failure domain, the servers that are not draining.
 func SupplyOf(servers []traffic.Upstream) map[string]Supply {
 	out := map[string]Supply{}
 	for _, s := range servers {
--- a/src/capacity/plan_test.go
+++ b/src/capacity/plan_test.go
@@ -47,7 +47,7 @@
 		running := 0
 		for _, o := range orders {
 			if o.Count < 0 || o.Count > maxServers {
-				t.Fatalf("order %+v", o)
+				t.Fatalf("count out of range: %+v", o)
 			}
 			if o.Spot {
 				running += min(supply[o.FailureDomain].Spot, o.Count)
--- a/src/capacity/provisioner.go
+++ b/src/capacity/provisioner.go
@@ -25,7 +25,7 @@
 	Sender duty.OrderSender
 	Now    func() time.Time
 
-	fence      int64
+	fence      int64 // fencing token of the lease under which lastOrders were sent
 	lastOrders map[orderKey]sentOrder
 }
 
--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -39,7 +39,7 @@
 type Token struct {
 	ID     int64
 	Text   string
-	Finish string
+	Finish string // finish reason; empty before the last token
 	Usage  *openai.Usage
 }
 
@@ -51,7 +51,8 @@
 	controlClient *http.Client
 }
 
-// NewClient returns a client. timeout limits control calls only.
+// NewClient returns a client. dial limits the time to connect, and timeout the
+// duration of control calls.
 func NewClient(dial, timeout time.Duration) *Client {
 	c := &Client{}
 	requests := &http.Transport{
@@ -69,7 +70,7 @@
 type Meta struct {
 	Started   bool // the engine accepted the request
 	Load      *Load
-	LeavingMS int64
+	LeavingMS int64 // deadline in Unix ms; 0 if the engine is not leaving
 }
 
 // Open starts a stream. onMeta is called once, before the first token; onToken
@@ -101,7 +102,7 @@
 func (c *Client) readAnswer(req *http.Request, onMeta func(Meta), onToken func(Token) error) error {
 	resp, err := c.streamClient.Do(req)
 	if err != nil {
-		return connectError(err)
+		return transportError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	m := parseMeta(resp.Header)
@@ -167,7 +168,7 @@
 	return m
 }
 
-func connectError(err error) error {
+func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return oops.Wrapf(errors.Join(ErrConnect, err), "connect")
@@ -198,7 +199,8 @@
 	return err
 }
 
-// State returns the engine's report with the cache events after cacheAfter.
+// State returns the engine's report with the cache events after the sequence
+// number cacheAfter.
 func (c *Client) State(ctx context.Context, addr string, cacheAfter int64) (State, error) {
 	var s State
 	path := "/v1/state?cache_after=" + strconv.FormatInt(cacheAfter, 10)
@@ -236,7 +238,7 @@
 	}
 	resp, err := hc.Do(req)
 	if err != nil {
-		return connectError(err)
+		return transportError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusConflict {
--- a/src/engine/wire.go
+++ b/src/engine/wire.go
@@ -10,9 +10,9 @@
 const (
 	HeaderRequestID    = "X-Request-Id"          // ID of the stream
 	HeaderLoad         = "endpoint-load-metrics" // ORCA, JSON form
-	LoadPrefix         = "JSON "
+	LoadPrefix         = "JSON "                 // precedes the load report in HeaderLoad
 	HeaderLeaving      = "X-Leaving-Deadline-Ms" // Unix ms; set if the engine is leaving
-	HeaderPulledTokens = "X-Pulled-Tokens"
+	HeaderPulledTokens = "X-Pulled-Tokens"       // tokens of the KV cache fetched by an import
 )
 
 // State is an engine's report. It may be outdated; AtMS is the time it describes.
@@ -25,11 +25,11 @@
 	Waiting      int           `json:"waiting"`
 	QueuedTokens int           `json:"queued_tokens"` // prompt tokens not yet prefilled
 	Slots        int           `json:"slots"`
-	PrefillTPS   float64       `json:"prefill_tps"`
-	StepMS       float64       `json:"step_ms"` // time between tokens of a stream
-	LeavingMS    int64         `json:"leaving_ms"`
-	Epoch        int64         `json:"epoch"` // highest epoch of an order received
-	CacheSeq     int64         `json:"cache_seq"`
+	PrefillTPS   float64       `json:"prefill_tps"` // prefill rate in tokens per second
+	StepMS       float64       `json:"step_ms"`     // time between tokens of a stream
+	LeavingMS    int64         `json:"leaving_ms"`  // deadline in Unix ms; 0 if the engine is not leaving
+	Epoch        int64         `json:"epoch"`       // highest epoch of an order received
+	CacheSeq     int64         `json:"cache_seq"`   // sequence number of the last cache event
 	Cache        []CacheEvent  `json:"cache,omitempty"`
 }
 
@@ -78,7 +78,7 @@
 	Stream string `json:"stream"`
 }
 
-// blockBytes is the size of a prefix block.
+// blockBytes is the size of a prefix block, in bytes of prompt text.
 const blockBytes = 256
 
 // Blocks returns the chained hashes of the complete blocks of a prompt. Two
--- a/src/plan/count.go
+++ b/src/plan/count.go
@@ -17,7 +17,8 @@
 }
 
 // countServers matches VMs, intents and engine states, and counts the ready and
-// pending servers of each model.
+// pending servers of each model. It also adds the actions that need no placement:
+// buying unlisted VMs, terminating orphans and loading missing models.
 func (b *builder) countServers() {
 	seen := map[string]bool{}
 	for _, vm := range b.in.VMs {
@@ -103,8 +104,8 @@
 	}
 }
 
-// loadAdapters orders the loading of the adapters that the engine's model has
-// and the engine does not.
+// loadAdapters orders the engine to load the adapters of its model that it does
+// not have.
 func (b *builder) loadAdapters(e *engineVM, state engine.State) {
 	for _, name := range slices.Sorted(maps.Keys(b.in.Catalog.Adapters)) {
 		a := b.in.Catalog.Adapters[name].Adapter
--- a/src/plan/place.go
+++ b/src/plan/place.go
@@ -91,7 +91,7 @@
 	}
 	below := slices.DeleteFunc(slices.Clone(out), func(d string) bool { return servers[d] >= maxServers })
 	// One more server in the domain with the most servers is useful only if
-	// another domain can follow, or if there are too few servers in total.
+	// another domain can get one too, or if there are too few servers in total.
 	if total < n.Servers || total < 2*n.Servers && b.availableDomains(n, out) > 1 {
 		return append(below, slices.DeleteFunc(out, func(d string) bool { return servers[d] < maxServers })...)
 	}
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// bestOffer returns the offer with the lowest Score in a domain.
+// bestOffer returns the offer with the lowest Score in a domain. It skips offers
+// that were refused within refusalBackoff and adds them to n.Refused.
 func (b *builder) bestOffer(n *Need, domain string) (ports.Offer, bool) {
 	if len(b.intents) >= b.in.Params.MaxVMs {
 		return ports.Offer{}, false
@@ -189,8 +190,8 @@
 	}
 }
 
-// preemptibleEngine returns the engine in the domain with the model of lowest
-// priority below that of n, or nil.
+// preemptibleEngine returns the engine in the domain whose model has the lowest
+// priority, or nil if no model there has a lower priority than n.
 func (b *builder) preemptibleEngine(n *Need, domain string) *engineVM {
 	var best *engineVM
 	for _, e := range b.sortedEngines() {
--- a/src/plan/plan.go
+++ b/src/plan/plan.go
@@ -17,8 +17,8 @@
 	Name      string      `json:"name"`
 	Model     string      `json:"model"`
 	Offer     ports.Offer `json:"offer"`
-	SinceMS   int64       `json:"since"`
-	ReleaseMS int64       `json:"release,omitempty"` // time from which the VM gets no new work; 0 if not released
+	SinceMS   int64       `json:"since"`             // time of the decision, Unix ms
+	ReleaseMS int64       `json:"release,omitempty"` // time from which the VM gets no new work, Unix ms; 0 if not released
 }
 
 // Input is the complete input of a plan.
@@ -35,13 +35,13 @@
 
 // Params are the planner's settings.
 type Params struct {
-	Prefix                string
-	MaxVMs                int // limit of bought VMs
-	WeightsBytesPerSecond float64
+	Prefix                string  // prefix of the names of bought VMs
+	MaxVMs                int     // limit of bought VMs
+	WeightsBytesPerSecond float64 // rate at which the store of the weights serves all engines together
 	BootTime              time.Duration
-	Margin                time.Duration
-	SpreadDomains         bool
-	OnDemand              bool // buy on-demand VMs only
+	Margin                time.Duration // added to the lead time of events
+	SpreadDomains         bool          // needs must be met even if any one failure domain is lost
+	OnDemand              bool          // buy on-demand VMs only
 }
 
 // OfferKey identifies an offer.
@@ -87,12 +87,12 @@
 // Need holds the required and the existing servers of a model.
 type Need struct {
 	Model      string         `json:"model"`
-	Servers    int            `json:"servers"` // required even if any one failure domain is lost
+	Servers    int            `json:"servers"` // required, with SpreadDomains even if any one failure domain is lost
 	Priority   int            `json:"priority"`
-	CostWeight float64        `json:"cost_weight"` // weight of cost against latency, 0 to 1
-	Ready      map[string]int `json:"ready"`       // servers with the model loaded, by failure domain
-	Pending    map[string]int `json:"coming"`      // servers booting or loading, by failure domain
-	Refused    []string       `json:"refused,omitempty"`
+	CostWeight float64        `json:"cost_weight"`       // weight of cost against latency, 0 to 1
+	Ready      map[string]int `json:"ready"`             // servers with the model loaded, by failure domain
+	Pending    map[string]int `json:"coming"`            // servers booting or loading, by failure domain
+	Refused    []string       `json:"refused,omitempty"` // refused offers, as text for operators
 }
 
 // ServersAfterDomainLoss returns how many servers remain if the failure domain
@@ -114,7 +114,7 @@
 	bytes := 0.0
 	for _, m := range ev.Models {
 		if r, ok := models[m.Name]; ok {
-			// One server more than needed is loaded, and all share the rate of one store.
+			// One server more than needed is loaded, and all servers load from one store.
 			bytes += float64(r.Model.Bytes) * float64(m.Servers+1)
 		}
 	}
@@ -155,6 +155,8 @@
 	return b
 }
 
+// addEvent adds the servers of an event to the needs from the start of its
+// preparation until its end.
 func (b *builder) addEvent(ev *catalog.Event) {
 	leadTime := LeadTime(ev, b.in.Catalog.Models, b.in.Params)
 	if b.in.Now.Before(ev.Start.Add(-leadTime)) || !b.in.Now.Before(ev.End) {
--- a/src/plan/release.go
+++ b/src/plan/release.go
@@ -33,6 +33,8 @@
 	})
 }
 
+// releaseSurplus releases VMs of a model, the most expensive first, while the
+// remaining ones meet its need.
 func (b *builder) releaseSurplus(n *Need) {
 	for {
 		best := ""
--- a/src/plan/status.go
+++ b/src/plan/status.go
@@ -8,7 +8,7 @@
 	"github.com/crankridge/crankridge/src/event"
 )
 
-const nameBase = 36
+const nameBase = 36 // base of the number at the end of VM names
 
 func base36(v int64) string { return strconv.FormatInt(v, nameBase) }
 
--- a/src/route/route.go
+++ b/src/route/route.go
@@ -16,7 +16,7 @@
 	rendezvousSamples = 2    // candidates sampled by rendezvous hashing of the prefix
 	randomSamples     = 2    // candidates sampled at random
 	boundFactor       = 1.25 // maximum load of a candidate, as a multiple of the mean
-	boundSlack        = 2.0  // requests per candidate allowed above the bound, for leastLoaded loads
+	boundSlack        = 2.0  // further requests allowed per candidate, so that low loads are not bound too tightly
 	bytesPerToken     = 5.0  // estimate for prompt text
 	meanAnswerTokens  = 128  // estimate, determines how long a slot is in use
 )
@@ -24,9 +24,9 @@
 // Request holds the properties of a request that the choice depends on.
 type Request struct {
 	PromptBytes int
-	Blocks      []uint64 // prefix block hashes
-	Avoid       map[string]bool
-	AvoidDomain map[string]bool
+	Blocks      []uint64        // prefix block hashes
+	Avoid       map[string]bool // names of candidates not to choose
+	AvoidDomain map[string]bool // failure domains to choose only if no other is left
 }
 
 // Choice is a candidate with its estimated time to first token.
@@ -60,8 +60,8 @@
 // NewChooser returns a chooser for the given policy.
 func NewChooser(p Policy) *Chooser { return &Chooser{policy: p} }
 
-// Choose chooses one of the candidates, which must be sorted by name. ok is
-// false if the request must avoid all of them.
+// Choose chooses one of the candidates, which must be sorted by name. It returns
+// false if there are none or the request must avoid all of them.
 func (c *Chooser) Choose(cands []upstream.Candidate, r Request, rng *rand.Rand) (Choice, bool) {
 	cands = withoutAvoided(cands, r)
 	if len(cands) == 0 {
@@ -139,6 +139,7 @@
 	return Choice{leastLoaded, EstimateTTFT(leastLoaded, r)}
 }
 
+// loadBound returns the maximum load of a candidate, in requests per slot.
 func loadBound(cands []upstream.Candidate) float64 {
 	busy, slots := 0.0, 0.0
 	for _, c := range cands {
@@ -208,16 +209,17 @@
 	return best
 }
 
-// blockBytes is the size of a prefix block; it must match package engine.
+// blockBytes is the size of a prefix block; it must match blockBytes in package
+// engine.
 const blockBytes = 256
 
 // EstimateTTFT estimates the time to first token at a candidate: prefill of the
 // queued prompt tokens and of the request's uncached tokens, the wait for a
 // slot, and one decode step.
 func EstimateTTFT(c upstream.Candidate, r Request) time.Duration {
-	cached := float64(c.CachedBlocks*blockBytes) * c.CacheConfidence
-	own := max(float64(r.PromptBytes)-cached, 0) / bytesPerToken
-	seconds := (c.QueuedTokens + own) / c.PrefillTPS
+	cachedBytes := float64(c.CachedBlocks*blockBytes) * c.CacheConfidence
+	uncachedTokens := max(float64(r.PromptBytes)-cachedBytes, 0) / bytesPerToken
+	seconds := (c.QueuedTokens + uncachedTokens) / c.PrefillTPS
 	if waiting := c.Busy + 1 - c.Slots; waiting > 0 {
 		slotSeconds := c.StepMS / 1000 * meanAnswerTokens
 		seconds += waiting / c.Slots * slotSeconds
@@ -226,9 +228,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Subset returns the size upstreams that a node uses, chosen by rendezvous
-// hashing with the node's name and spread over the failure domains. domainOf
-// maps the names of all upstreams to their failure domains.
+// Subset returns the upstreams that a node uses, at most size of them, chosen by
+// rendezvous hashing with the node's name and spread over the failure domains. A
+// size of 0 or less selects all. domainOf maps the names of all upstreams to
+// their failure domains.
 func Subset(domainOf map[string]string, node string, size int) map[string]bool {
 	out := map[string]bool{}
 	if size <= 0 || size >= len(domainOf) {
--- a/src/traffic/config.go
+++ b/src/traffic/config.go
@@ -40,10 +40,10 @@
 	GapObjective time.Duration // objective for the time between events of a stream
 	Priority     int           // 0 is the highest
 	Split        []WeightedService
-	MaxAttempts  int // maximum number of servers tried per client attempt
-	Public       bool
-	Sticky       bool
-	Resumable    bool
+	MaxAttempts  int  // maximum number of servers tried per client attempt
+	Public       bool // requests need no API key
+	Sticky       bool // servers are chosen by their prefix cache as well as their load
+	Resumable    bool // an interrupted stream can be continued
 }
 
 // Retryable reports whether a request of the route may run more than once.
@@ -69,18 +69,18 @@
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots       int
-	CacheTokens int
-	TokenBytes  int
+	CacheTokens int // capacity of the KV cache
+	TokenBytes  int // size of a token in the KV cache
 	LinkMbps    float64
 	KVTransfer  bool
 	KVHandleTTL time.Duration
 }
 
-// Scaling configures the scaling of a service. Min and Max apply to each failure
-// domain.
+// Scaling configures the scaling of a service. Min and Max are numbers of servers
+// in each failure domain.
 type Scaling struct {
 	Min, Max      int
-	Boot          time.Duration
+	Boot          time.Duration      // time to boot a server
 	SpotPrice     float64            // fraction of the on-demand price
 	DomainPrices  map[string]float64 // by failure domain
 	SortedDomains []string           // sorted keys of DomainPrices
@@ -90,11 +90,11 @@
 type Customer struct {
 	Name          string
 	Keys          []string
-	Priority      *int // overrides the priority of the route
-	LimitsTokens  bool // the rate limit counts tokens instead of requests
-	DefaultTokens int  // tokens counted for a request that does not state them
-	Rate          float64
-	Burst         float64
+	Priority      *int    // overrides the priority of the route
+	LimitsTokens  bool    // the rate limit counts tokens instead of requests
+	DefaultTokens int     // tokens counted for a request that does not state them
+	Rate          float64 // tokens or requests per second
+	Burst         float64 // tokens or requests
 }
 
 // Limits are the limits of client connections and requests.
--- a/src/traffic/headers.go
+++ b/src/traffic/headers.go
@@ -7,15 +7,15 @@
 	DeadlineMs     string // milliseconds left for the receiver
 	LastEventID    string // ID of the last event received
 	Signature      string // signature of a server
-	Customer       string
+	Customer       string // name of the customer, set by the gateway
 	ExpectInstance string // ID of the intended server
 	NotExecuted    string // set by a server that did not run the request
 	Model          string
 	Tokens         string // input tokens and maximum output tokens
-	PromptParts    string
+	PromptParts    string // IDs and token counts of the parts of a prompt
 	Priority       string
 	LengthHint     string
-	FetchFrom      string
-	ContinueFrom   string
+	FetchFrom      string // removed from requests of clients
+	ContinueFrom   string // removed from requests of clients
 	Scheme         string // scheme of the Authorization header, with the space after it
 }
--- a/src/traffic/table.go
+++ b/src/traffic/table.go
@@ -55,12 +55,12 @@
 // RequiresKey reports whether requests need an API key.
 func (t *Table) RequiresKey() bool { return len(t.Config.Customers) > 0 }
 
-// CustomerByKey returns the customer with an API key, or nil.
+// CustomerByKey returns the customer that has the given API key, or nil.
 func (t *Table) CustomerByKey(key string) *Customer {
 	return t.byKey[sha256.Sum256([]byte(key))]
 }
 
-// Customer returns the customer with a name, or nil.
+// Customer returns the customer with the given name, or nil.
 func (t *Table) Customer(name string) *Customer { return t.customers[name] }
 
 // PickService returns the service for a request according to the weights of the
--- a/src/upstream/candidate.go
+++ b/src/upstream/candidate.go
@@ -10,7 +10,7 @@
 
 const (
 	defaultStepMS     = 20
-	defaultPrefillTPS = 5000
+	defaultPrefillTPS = 5000 // tokens per second
 	defaultSlots      = 32
 	sendRateWindow    = 2 * time.Second // window over which this node's send rate is averaged
 	minDrainFraction  = 0.1             // lower bound of the queue drain rate, as a fraction of the prefill rate
@@ -27,16 +27,17 @@
 	Busy            float64 // estimated streams running or waiting
 	OwnRequests     int     // requests of this node in progress
 	QueuedTokens    float64 // estimated prompt tokens not yet prefilled
-	PrefillTPS      float64
-	StepMS          float64
+	PrefillTPS      float64 // prefill rate in tokens per second
+	StepMS          float64 // time between tokens of a stream
 	CachedBlocks    int     // leading blocks of the request expected in the prefix cache
 	CacheConfidence float64 // 0 to 1, decays with the time since the last of them was seen
 	SlowStartWeight float64 // 0 to 1, below 1 after an ejection
-	KVTransferTPS   float64
+	KVTransferTPS   float64 // transfer rate of KV caches in tokens per second
 }
 
-// Candidates returns the upstreams that have a model or adapter loaded and
-// are neither leaving nor ejected. blocks are the request's prefix blocks.
+// Candidates returns the upstreams that have a model or adapter loaded and are
+// not leaving. Ejected ones are left out unless all are ejected. blocks are the
+// request's prefix blocks.
 func (r *Registry) Candidates(model string, blocks []uint64) []Candidate {
 	return r.selectCandidates(blocks, func(u *Upstream) (string, bool) {
 		i := slices.IndexFunc(u.Models, func(m engine.LoadedModel) bool { return m.Name == model })
@@ -47,8 +48,8 @@
 	})
 }
 
-// ServiceCandidates returns the upstreams of a service that are neither
-// leaving nor ejected.
+// ServiceCandidates returns the upstreams of a service that are not leaving.
+// Ejected ones are left out unless all are ejected.
 func (r *Registry) ServiceCandidates(service string) []Candidate {
 	return r.selectCandidates(nil, func(u *Upstream) (string, bool) {
 		return "", u.Kind == KindService && u.Service == service
@@ -73,8 +74,8 @@
 		}
 		out = append(out, c)
 	}
-	// If every upstream is ejected, the fault is probably in the network
-	// between, so the ejections are ignored.
+	// If all are ejected, the fault is probably in the network and not in the
+	// upstreams, so the ejections are ignored.
 	if len(out) == 0 {
 		out = ejected
 	}
@@ -102,26 +103,26 @@
 }
 
 // estimateLoad extrapolates the last load report to now. It adds the requests
-// this node has started and ended since, scaled up by the load of the other
-// nodes, so that nodes which see the same free slots do not all fill them. The
-// prompt queue drains at queueDrainRate.
-func (u *Upstream) estimateLoad(now time.Time, prefill float64, peerLoadFactor float64) (busy, queuedTokens float64) {
+// this node has started since and subtracts those that ended, scaled up by the
+// load of the other nodes, so that nodes which see the same free slots do not
+// all fill them. The prompt queue drains at queueDrainRate.
+func (u *Upstream) estimateLoad(now time.Time, prefillTPS float64, peerLoadFactor float64) (busy, queuedTokens float64) {
 	u.sent = slices.DeleteFunc(u.sent, func(s sentRequest) bool {
-		reported := !s.endedAt.IsZero() && !s.endedAt.After(u.reportAt)
-		return reported && now.Sub(s.at) > sendRateWindow || now.Sub(s.at) > sentRetention
+		endReported := !s.endedAt.IsZero() && !s.endedAt.After(u.reportAt)
+		return endReported && now.Sub(s.at) > sendRateWindow || now.Sub(s.at) > sentRetention
 	})
 	busy, queuedTokens = u.running+u.waiting, u.queuedTokens
 	change := 0.0
-	at, queueDrainRate := u.reportAt, u.queueDrainRate(now, prefill, peerLoadFactor)
+	at, queueDrainRate := u.reportAt, u.queueDrainRate(now, prefillTPS, peerLoadFactor)
 	for _, s := range u.sent {
-		reported := !s.at.After(u.reportAt)
+		startReported := !s.at.After(u.reportAt)
 		switch {
-		case reported && s.endedAt.After(u.reportAt):
+		case startReported && s.endedAt.After(u.reportAt):
 			change--
-		case !reported && s.endedAt.IsZero():
+		case !startReported && s.endedAt.IsZero():
 			change++
 		}
-		if !reported {
+		if !startReported {
 			queuedTokens = max(queuedTokens-s.at.Sub(at).Seconds()*queueDrainRate, 0) + s.tokens
 			at = s.at
 		}
@@ -131,16 +132,16 @@
 	return max(busy, float64(u.inflight)), max(queuedTokens, 0)
 }
 
-// queueDrainRate returns the rate at which the prompt queue shrinks: the
-// prefill rate less the estimated send rate of the other nodes.
-func (u *Upstream) queueDrainRate(now time.Time, prefill float64, peerLoadFactor float64) float64 {
-	own := 0.0
+// queueDrainRate returns the tokens per second by which the prompt queue
+// shrinks: the prefill rate less the estimated send rate of the other nodes.
+func (u *Upstream) queueDrainRate(now time.Time, prefillTPS float64, peerLoadFactor float64) float64 {
+	ownTokens := 0.0
 	for _, s := range u.sent {
 		if now.Sub(s.at) < sendRateWindow {
-			own += s.tokens
+			ownTokens += s.tokens
 		}
 	}
-	return max(prefill-own/sendRateWindow.Seconds()*peerLoadFactor, prefill*minDrainFraction)
+	return max(prefillTPS-ownTokens/sendRateWindow.Seconds()*peerLoadFactor, prefillTPS*minDrainFraction)
 }
 
 // cachedPrefix returns how many leading blocks the upstream is expected to
@@ -176,7 +177,7 @@
 	StepMS             float64 `json:"step_ms"`
 	MeasuredPrefillTPS float64 `json:"prefill_tps"`
 	CachedBlocks       int     `json:"cache_beliefs"`
-	ReportAge          float64 `json:"report_age_s"`
+	ReportAge          float64 `json:"report_age_s"` // -1 before the first report
 }
 
 // Dumps returns the state of all upstreams, sorted by name.
--- a/src/upstream/published.go
+++ b/src/upstream/published.go
@@ -33,8 +33,8 @@
 	Region        string               `json:"region,omitempty"`
 	Models        []engine.LoadedModel `json:"models,omitempty"`
 	Slots         int                  `json:"slots,omitempty"`
-	PrefillTPS    float64              `json:"prefill,omitempty"`
-	KVTransferTPS float64              `json:"move,omitempty"`
+	PrefillTPS    float64              `json:"prefill,omitempty"` // prefill rate in tokens per second
+	KVTransferTPS float64              `json:"move,omitempty"`    // transfer rate of KV caches in tokens per second
 	LeavingMS     int64                `json:"leaving,omitempty"` // deadline in Unix ms; 0 if the upstream is not leaving
 }
 
--- a/src/upstream/registry.go
+++ b/src/upstream/registry.go
@@ -12,15 +12,15 @@
 const (
 	ejectInitial       = 500 * time.Millisecond
 	ejectMax           = 30 * time.Second
-	ejectThreshold     = 2 // consecutive failures other than refused connections
+	ejectThreshold     = 2 // consecutive failures after which an upstream is ejected
 	slowStartSuccesses = 4 // successes after an ejection until the upstream has full weight
 	idleAfter          = 30 * time.Second
-	idlePollFactor     = 4 // factor on the report interval of an idle upstream
-	leavingRetention   = 10 * time.Minute
+	idlePollFactor     = 4                // factor on the report interval of an idle upstream
+	leavingRetention   = 10 * time.Minute // time after its deadline that a leaving mark is kept
 	prefillEWMAWeight  = 0.2
 	cacheHalfLife      = 2 * time.Minute
 	maxCachedBlocks    = 20000
-	sentRetention      = 30 * time.Second
+	sentRetention      = 30 * time.Second // maximum age of a sentRequest
 )
 
 // Upstream is a node's state of one upstream, guarded by the lock of its Registry.
@@ -31,8 +31,8 @@
 
 	failures          int
 	ejectedUntil      time.Time
-	backoff           time.Duration
-	slowStartProgress int // successes since the ejection, at most slowStartSuccesses
+	backoff           time.Duration // duration of the last ejection; 0 once back at full weight
+	slowStartProgress int           // successes since the ejection, at most slowStartSuccesses
 
 	reportAt           time.Time
 	running            float64
@@ -50,7 +50,7 @@
 // sentRequest is a request this node sent to an upstream.
 type sentRequest struct {
 	at      time.Time // start time
-	tokens  float64
+	tokens  float64   // prompt tokens to prefill
 	endedAt time.Time // zero while in progress
 }
 
@@ -65,7 +65,7 @@
 }
 
 // NewRegistry returns an empty registry. onLeaving is called, without locks
-// held, when MarkLeaving is called for an upstream not known to be leaving.
+// held, when MarkLeaving records the first deadline of an upstream or marks it.
 func NewRegistry(now func() time.Time, onLeaving func(string, time.Time)) *Registry {
 	return &Registry{now: now, upstreams: map[string]*Upstream{}, leavingDeadlines: map[string]time.Time{}, onLeaving: onLeaving}
 }
@@ -140,15 +140,16 @@
 }
 
 // MarkLeaving marks an upstream as leaving: it is no longer a candidate. The
-// mark is also kept for an upstream that is not published yet.
+// deadline of an upstream that is not published yet is recorded too, but the
+// upstream is marked only if it is then published as leaving.
 func (r *Registry) MarkLeaving(name string, deadline time.Time) {
 	if r.setLeaving(name, deadline) && r.onLeaving != nil {
 		r.onLeaving(name, deadline)
 	}
 }
 
-// setLeaving records the deadline and reports whether the upstream was not
-// known to be leaving before.
+// setLeaving records the deadline and marks the upstream if it is published. It
+// reports whether the name had no deadline before or the mark is new.
 func (r *Registry) setLeaving(name string, deadline time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,8 +300,8 @@
 	}
 }
 
-// RecordCacheUsage records an answer's usage: hits of the prompt's
-// blocks were in the upstream's prefix cache.
+// RecordCacheUsage records the prompt blocks of an answered request. hits is the
+// number of them that were in the upstream's prefix cache.
 func (r *Registry) RecordCacheUsage(name string, blocks []uint64, hits int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -317,7 +318,8 @@
 	}
 }
 
-// dropOldestBlocks forgets the oldest quarter of the blocks after a cache miss.
+// dropOldestBlocks forgets the oldest quarter of the blocks if there are at
+// least maxCachedBlocks/2.
 func (u *Upstream) dropOldestBlocks() {
 	if len(u.cachedBlocks) < maxCachedBlocks/2 {
 		return
