--- a/src/admit/limit.go
+++ b/src/admit/limit.go
@@ -10,9 +10,9 @@
 	demandHalfLife   = 2 * time.Second
 	demandExpiry     = 30 * time.Second
 	burstSeconds     = 1.0
-	minShareFraction = 0.2             // part of an even share that a node keeps at any demand
+	minShareFraction = 0.2             // fraction of an even share that a node keeps at any demand
 	shareHalfLife    = 2 * time.Second // half-life of the distance to a new share
-	maxShareInterval = time.Second     // upper bound on the time between two share updates
+	maxShareInterval = time.Second     // longest time that one share update accounts for
 )
 
 // Demand is one customer's request rate as measured at one node.
@@ -191,7 +191,8 @@
 	}
 }
 
-// Sample returns up to n readings of other nodes, to be forwarded.
+// Sample returns up to n readings of other nodes, to be forwarded, and deletes
+// expired ones.
 func (l *Limiter) Sample(n int, now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/admit/queue.go
+++ b/src/admit/queue.go
@@ -1,6 +1,7 @@
 // Package admit implements admission control: rate limits shared by all nodes
-// and a bounded queue with priorities and weighted fair sharing. The caller
-// passes in the current time.
+// and a bounded queue with priorities and weighted fair sharing. Limiter divides
+// a limit among the nodes by their demand; SharedLimiter charges the admissions
+// of all nodes to one bucket. The caller passes in the current time.
 package admit
 
 import (
@@ -27,9 +28,9 @@
 }
 
 // Queue holds waiting requests. Higher priorities go first, and within a
-// priority customers share by weight (start-time fair queueing). Every
-// oldestFirstInterval-th dispatch takes the oldest entry instead. A Queue is
-// not safe for concurrent use.
+// priority customers share by weight: entries go in order of their virtual
+// finish time (weighted fair queueing). Every oldestFirstInterval-th dispatch
+// takes the oldest entry instead. A Queue is not safe for concurrent use.
 type Queue struct {
 	maxEntries  int
 	maxBytes    int
@@ -43,13 +44,13 @@
 	count       int
 }
 
-// NewQueue returns an empty queue that holds at highest maxEntries entries and
+// NewQueue returns an empty queue that holds at most maxEntries entries and
 // maxBytes bytes.
 func NewQueue(maxEntries, maxBytes int) *Queue {
 	return &Queue{maxEntries: maxEntries, maxBytes: maxBytes, lastFinish: map[string]float64{}, byCustomer: map[string]*list.List{}}
 }
 
-// Push adds an entry. It returns false if the queue is full.
+// Push adds an entry. It returns false if there is no room for it.
 func (q *Queue) Push(e *Entry) bool {
 	if q.count >= q.maxEntries || q.bytes+e.Bytes > q.maxBytes {
 		return false
@@ -102,8 +103,8 @@
 	return q.removeElement(bestList, best)
 }
 
-// PopHighestPriority removes and returns the first entry by priority, also when
-// it is the oldest entry's turn. It returns nil if the queue is empty.
+// PopHighestPriority removes and returns the first entry in order of priority. It
+// never takes the oldest entry instead, and returns nil if the queue is empty.
 func (q *Queue) PopHighestPriority() *Entry {
 	bestList, best := q.findFirst(higherPriority)
 	if best == nil {
@@ -174,8 +175,9 @@
 func (q *Queue) Bytes() int { return q.bytes }
 
 // CostAhead estimates the cost served before a new entry of a customer starts:
-// all entries of higher priority, and of the same priority the customer's own
-// backlog together with what fair sharing serves of the others meanwhile.
+// that of all entries of higher priority and, at the same priority, that of the
+// customer's own backlog and of the other customers' entries that fair sharing
+// serves in the same time.
 func (q *Queue) CostAhead(customer string, weight, priority int) float64 {
 	higher, same, own := 0.0, 0.0, 0.0
 	weights := float64(max(weight, 1))
--- a/src/admit/shared.go
+++ b/src/admit/shared.go
@@ -10,7 +10,7 @@
 	peerTimeout          = 700 * time.Millisecond // after which a silent peer is charged an even share
 	aggregateTimeout     = 2 * time.Second        // the same for the sum of all peers
 	aggregateDelay       = 600 * time.Millisecond // typical time until an admission is in the sum of all peers
-	maxRefillInterval    = 2 * time.Second        // upper bound on the time between two refills
+	maxRefillInterval    = 2 * time.Second        // longest time that one refill accounts for
 	exchangeDelay        = 400 * time.Millisecond // typical time until single peers learn of an admission
 	recentTimeConstant   = time.Second            // of the moving averages of recent admissions
 	maxExtrapolatedPeers = 8                      // peers assumed to admit as much as this node
@@ -174,9 +174,9 @@
 }
 
 // Take admits a request of the given cost under a customer's rate (per second)
-// and burst. Here a higher priority value is less urgent, and leaves a larger
-// reserve in the bucket. If the request is refused, wait is the time until one
-// like it is admitted.
+// and burst. Unlike in Queue, priority 0 is the highest; a request of a lower
+// priority (a higher value) leaves a larger reserve in the bucket. If the request
+// is refused, wait is the time until one like it is admitted.
 func (l *SharedLimiter) Take(customer string, cost float64, priority int, rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,9 +202,9 @@
 	return true, 0
 }
 
-// requiredLevel returns the level at which a request is admitted. It does not
-// grow with the cost, so that large requests are not refused more often; they
-// overdraw the bucket instead. Small requests may pass below zero.
+// requiredLevel returns the lowest bucket level at which a request is admitted.
+// It does not grow with the cost, so that large requests are not refused more
+// often; they overdraw the bucket instead. Small requests may pass below zero.
 func requiredLevel(cost float64, priority int, depth float64) float64 {
 	if cost <= depth*smallCostFraction {
 		return -depth * smallOverdraftFraction
@@ -250,10 +250,10 @@
 	}
 }
 
-func (l *SharedLimiter) refill(customer string, rate, burst float64, now time.Time) *sharedBucket {
+func (l *SharedLimiter) refill(customer string, fill, depth float64, now time.Time) *sharedBucket {
 	bucket := l.buckets[customer]
 	if bucket == nil {
-		bucket = &sharedBucket{updatedAt: l.startedAt, level: initialFillFraction * burst}
+		bucket = &sharedBucket{updatedAt: l.startedAt, level: initialFillFraction * depth}
 		l.buckets[customer] = bucket
 	}
 	elapsed := max(min(now.Sub(bucket.updatedAt), maxRefillInterval), 0).Seconds()
@@ -261,8 +261,8 @@
 	decay := math.Exp(-elapsed / recentTimeConstant.Seconds())
 	bucket.recentLocal *= decay
 	bucket.recentRemote *= decay
-	bucket.level += rate * elapsed
-	even, timeout := rate/float64(l.nodes)*elapsed, peerTimeout
+	bucket.level += fill * elapsed
+	even, timeout := fill/float64(l.nodes)*elapsed, peerTimeout
 	if l.aggregated {
 		even, timeout = even*float64(l.nodes-1), aggregateTimeout
 	}
@@ -272,7 +272,7 @@
 			bucket.level -= even
 		}
 	}
-	bucket.level = min(bucket.level, burst)
-	bucket.localLevel = min(bucket.localLevel+l.localCap(rate)*elapsed, localDepthFraction*l.localCap(burst))
+	bucket.level = min(bucket.level, depth)
+	bucket.localLevel = min(bucket.localLevel+l.localCap(fill)*elapsed, localDepthFraction*l.localCap(depth))
 	return bucket
 }
--- a/src/admit/shared_test.go
+++ b/src/admit/shared_test.go
@@ -24,14 +24,14 @@
 		interval := rapid.IntRange(1, 8).Draw(t, "steps between two exchanges")
 		partitioned := rapid.IntRange(-1, nodes-1).Draw(t, "partitioned node")
 		load := rapid.Float64Range(0.2, 6).Draw(t, "demand as a multiple of the limit")
-		over := Tolerance{Window: window, Overage: 0.1, Slack: slack}
-		limiters := newLimiters(nodes, over, startTime)
+		tolerance := Tolerance{Window: window, Overage: 0.1, Slack: slack}
+		limiters := newLimiters(nodes, tolerance, startTime)
 		restarts := rapid.SliceOfN(rapid.IntRange(1, steps-1), 0, 2).Draw(t, "steps at which all nodes restart")
 		admitted := make([]float64, steps)
 		for at := range steps {
 			now := startTime.Add(time.Duration(at) * step)
 			if slices.Contains(restarts, at) {
-				limiters = newLimiters(nodes, over, now)
+				limiters = newLimiters(nodes, tolerance, now)
 			}
 			if at%interval == 0 {
 				exchangeTotals(limiters, partitioned, now)
@@ -47,7 +47,8 @@
 	})
 }
 
-// checkWindows fails the test if more than limit was admitted in any window.
+// checkWindows fails the test if more than limit was admitted in any window of
+// perWindow steps.
 func checkWindows(t *rapid.T, admitted []float64, perWindow int, limit float64) {
 	for from := 0; from+perWindow <= len(admitted); from++ {
 		sum := 0.0
@@ -61,10 +62,10 @@
 }
 
 // newLimiters returns the limiters of nodes that all start at now.
-func newLimiters(nodes int, over Tolerance, now time.Time) []*SharedLimiter {
+func newLimiters(nodes int, tolerance Tolerance, now time.Time) []*SharedLimiter {
 	limiters := make([]*SharedLimiter, nodes)
 	for i := range limiters {
-		limiters[i] = NewSharedLimiter(now, over)
+		limiters[i] = NewSharedLimiter(now, tolerance)
 		limiters[i].SetPeers(peersOf(i, nodes))
 	}
 	return limiters
@@ -194,10 +195,10 @@
 		interval := rapid.IntRange(2, 6).Draw(t, "steps between two sums")
 		surge := rapid.IntRange(0, steps/2).Draw(t, "step at which the surge starts")
 		load := rapid.Float64Range(0.5, 5).Draw(t, "demand during the surge as a multiple of the limit")
-		over := Tolerance{Window: window, Overage: 0.1, Slack: slack}
+		tolerance := Tolerance{Window: window, Overage: 0.1, Slack: slack}
 		limiters := make([]*SharedLimiter, nodes)
 		for i := range limiters {
-			limiters[i] = NewSharedLimiter(startTime, over)
+			limiters[i] = NewSharedLimiter(startTime, tolerance)
 			limiters[i].SetAggregate("hub", nodes-1)
 		}
 		admitted := make([]float64, steps)
@@ -209,11 +210,11 @@
 				sendSums(limiters, sums, now)
 				sums = sumsOfOthers(limiters)
 			}
-			asked := 0.5
+			demand := 0.5 // as a multiple of the limit
 			if at >= surge {
-				asked = load
+				demand = load
 			}
-			for range int(asked * rate * step.Seconds() / cost) {
+			for range int(demand * rate * step.Seconds() / cost) {
 				i := rapid.IntRange(0, nodes-1).Draw(t, "node")
 				if ok, _ := limiters[i].Take("c", cost, 0, rate, burst, now); ok {
 					admitted[at] += cost
--- a/src/caller/completion.go
+++ b/src/caller/completion.go
@@ -104,8 +104,9 @@
 	return u
 }
 
-// streamEvents sends the tokens after the given one as server-sent events. The
-// header is sent with the first token, so that a refusal can set the status.
+// streamEvents sends the tokens that follow the first after tokens, as server-sent
+// events. The header is sent with the first event, so that a refusal can set the
+// status.
 func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, f *request.Flight, req *openai.Request, after int) {
 	out := newEventWriter(w, s.config.Limits.WriteStall, f, req)
 	sent := after
@@ -201,7 +202,7 @@
 	e.buf = append(e.buf, e.suffix...)
 }
 
-// end writes the finish reason, the usage if requested, and the end marker, or
+// end buffers the finish reason, the usage if requested, and the end marker, or
 // an error event if the request did not complete.
 func (e *eventWriter) end(sent int, a request.Answer) {
 	e.start()
@@ -227,6 +228,7 @@
 	e.buf = append(e.buf, "data: "+openai.Done+"\n\n"...)
 }
 
+// event buffers an event with the JSON form of v. An id of 0 is left out.
 func (e *eventWriter) event(id int, v any) {
 	raw, _ := json.Marshal(v)
 	if id > 0 {
@@ -239,7 +241,8 @@
 	e.buf = append(e.buf, "\n\n"...)
 }
 
-// flush sends the buffered events. It returns false if the reader is gone or too slow.
+// flush sends the buffered events. It returns false if the caller has
+// disconnected or reads too slowly.
 func (e *eventWriter) flush() bool {
 	_ = e.rc.SetWriteDeadline(time.Now().Add(e.writeTimeout))
 	_, err := e.w.Write(e.buf)
--- a/src/caller/endpoints.go
+++ b/src/caller/endpoints.go
@@ -26,7 +26,7 @@
 	Revision  int64      `json:"revision"`
 }
 
-// serveEndpoints returns the endpoints for a caller. It requires no key.
+// serveEndpoints returns the endpoints for a caller. It requires no bearer key.
 func (s *Server) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	caller := host
--- a/src/catalog/resource.go
+++ b/src/catalog/resource.go
@@ -1,6 +1,6 @@
 // Package catalog defines the resources that operators configure (events,
 // models, adapters, services and customers), their encoding and their validation.
-// Consistency is per resource.
+// Each resource is written on its own; references between resources may be broken.
 package catalog
 
 import (
@@ -73,8 +73,8 @@
 // EventCustomer is a customer that an event serves.
 type EventCustomer struct {
 	Name         string `json:"name"`
-	FirstTokenMS int    `json:"first_token_ms"` // latency target, ms
-	Share        int    `json:"share,omitempty"`
+	FirstTokenMS int    `json:"first_token_ms"`  // latency target, ms
+	Share        int    `json:"share,omitempty"` // weight during the event, if above the customer's own
 }
 
 // Model is a language model that can be loaded.
@@ -85,14 +85,14 @@
 	Class   string `json:"class,omitempty"`   // VM class; empty for any
 }
 
-// Adapter is an adapter for a model.
+// Adapter is a set of weights that is loaded in addition to those of a model.
 type Adapter struct {
 	Model   string `json:"model"`
 	Bytes   int64  `json:"bytes"`
 	Version string `json:"version"`
 }
 
-// Service is a plain companion service.
+// Service is a plain service: an HTTP service other than a model.
 type Service struct {
 	// Repeatable means that a call may be run twice. A caller may mark a single
 	// call as not repeatable, but not the other way round.
@@ -105,10 +105,10 @@
 
 // Customer is an organisation or person whose calls are served.
 type Customer struct {
-	KeySHA256  string  `json:"key_sha256"` // hash of the bearer key, hexadecimal
-	Weight     int     `json:"weight"`     // relative share of scarce capacity
-	RequestsPS float64 `json:"requests_per_second,omitempty"`
-	Priority   int     `json:"priority,omitempty"`
+	KeySHA256  string  `json:"key_sha256"`                    // hash of the bearer key, hexadecimal
+	Weight     int     `json:"weight"`                        // relative share of scarce capacity
+	RequestsPS float64 `json:"requests_per_second,omitempty"` // rate limit over all nodes; 0 for none
+	Priority   int     `json:"priority,omitempty"`            // 0 to 9, highest first
 }
 
 // Key returns the key under which a resource is stored.
--- a/src/catalog/snapshot.go
+++ b/src/catalog/snapshot.go
@@ -76,7 +76,7 @@
 type Target struct {
 	FirstToken time.Duration // 0 if none is set
 	Priority   int
-	Share      int
+	Share      int // weight among customers
 }
 
 // EventPriority is the lowest priority of requests of an event in force. All
--- a/src/claim/attempts.go
+++ b/src/claim/attempts.go
@@ -18,8 +18,8 @@
 	Done
 )
 
-// Attempts tracks the attempts of one coordinator. Its lock decides between
-// sending an attempt and releasing it.
+// Attempts tracks the attempts of one coordinator. It is safe for concurrent use:
+// of Send and Release for the same attempt, only one succeeds.
 type Attempts struct {
 	mu     sync.Mutex
 	states map[string]attemptState
@@ -46,7 +46,8 @@
 	return a.transition(id, now, Sent, Claiming)
 }
 
-// Release marks the attempt as released. It returns false if it was already sent.
+// Release marks the attempt as released. It returns false if the attempt was
+// already sent or is unknown.
 func (a *Attempts) Release(id string, now time.Time) bool {
 	return a.transition(id, now, Released, Claiming, Released)
 }
--- a/src/claim/claim_test.go
+++ b/src/claim/claim_test.go
@@ -27,7 +27,7 @@
 	ledger   *Ledger
 	states   *Attempts
 	shardMap Map
-	gen      int
+	gen      int // generation, incremented at each restart
 }
 
 // modelAttempt is an attempt and its current round of claims.
@@ -46,7 +46,7 @@
 // message is a claim sent to a keeper, or the keeper's reply.
 type message struct {
 	to      int
-	gen     int
+	gen     int // generation of the keeper when the claim was sent
 	claim   Claim
 	attempt *modelAttempt
 	round   int
--- a/src/claim/decide.go
+++ b/src/claim/decide.go
@@ -14,12 +14,12 @@
 
 // Tally counts the replies to one round of claims.
 type Tally struct {
-	Asked    int
+	Asked    int // keepers that were sent the claim
 	Required int // keepers that must store the claim: Majority, except on a single node
 	Stored   int
-	Failed   int // no reply, not ready, or full
-	Stale    int
-	Holders  []Record
+	Failed   int      // no reply, not ready, or full
+	Stale    int      // the claim's epoch has ended
+	Holders  []Record // records of keepers at which another attempt holds the key
 }
 
 // Add counts a reply; nil means that none was received.
--- a/src/claim/ledger.go
+++ b/src/claim/ledger.go
@@ -26,7 +26,7 @@
 	Attempts   []Attempt
 	Repeatable bool
 	Answer     []byte
-	CreatedMS  int64
+	CreatedMS  int64 // Unix time, ms
 }
 
 // Verdict is a keeper's response to a claim.
@@ -64,8 +64,8 @@
 // Limits bound a ledger.
 type Limits struct {
 	Window      time.Duration // retention time of a record
-	MaxRecords  int
-	AnswerBytes int // larger answers are not stored
+	MaxRecords  int           // claims for new keys are refused from here on; a handover may exceed it
+	AnswerBytes int           // larger answers are not stored
 }
 
 // Ledger stores the records that a node keeps. It is safe for concurrent use.
@@ -135,7 +135,7 @@
 	})
 }
 
-// Vote decides a claim.
+// Vote replies to a claim, and stores its attempt if no other one holds the key.
 func (l *Ledger) Vote(c Claim, now time.Time) Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,8 +243,8 @@
 
 // Adopt merges the records of sealed keepers and marks the shard ready at
 // epoch. It returns false if the shard is now at another epoch. The sources
-// must be a read quorum of the source's keepers, or one keeper that is ready
-// at epoch.
+// must be a read quorum of the shard's Source, or one keeper that is ready at
+// epoch.
 func (l *Ledger) Adopt(shard int, epoch int64, sources ...[]Record) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/claim/shardmap.go
+++ b/src/claim/shardmap.go
@@ -142,7 +142,7 @@
 }
 
 // handOver starts the next epoch. If the current epoch was never active, it has
-// no claims, and the source stays the same.
+// no claims, so the source stays the same.
 func (s Shard) handOver(keepers []Node) Shard {
 	next := Shard{Epoch: s.Epoch + 1, Keepers: keepers, Source: s.Source, SourceEpoch: s.SourceEpoch, RecordsLostMS: s.RecordsLostMS}
 	if s.Active {
--- a/src/peer/pool.go
+++ b/src/peer/pool.go
@@ -14,7 +14,7 @@
 
 const (
 	bearer         = "Bearer "
-	maxIdlePerPeer = 32
+	maxIdlePerPeer = 32 // connections
 	dialTimeout    = time.Second
 	callTimeout    = 30 * time.Second
 	idleTimeout    = time.Minute
--- a/src/request/flight.go
+++ b/src/request/flight.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Flight is a request that is in progress or has recently ended at its
-// coordinator. One goroutine runs it and appends tokens, and any number of
+// Flight is a request that is in progress at its coordinator or has recently
+// ended there. One goroutine runs it and appends tokens, and any number of
 // readers may follow it.
 type Flight struct {
 	Key        string
@@ -58,14 +58,14 @@
 	return len(f.tokens)
 }
 
-// Delivered returns the text received so far and its number of tokens.
+// Delivered returns the text appended so far and its number of tokens.
 func (f *Flight) Delivered() (string, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return string(f.text), len(f.tokens)
 }
 
-// Size returns the length in bytes of the text received so far.
+// Size returns the length in bytes of the text appended so far.
 func (f *Flight) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/request/key.go
+++ b/src/request/key.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	issuedPrefix = "ck-"
-	issuedRandom = 12
-	maxKeyLen    = 128
-	timeBase     = 36
+	issuedPrefix      = "ck-"
+	issuedRandomBytes = 12
+	maxKeyLen         = 128 // bytes
+	timestampRadix    = 36
 )
 
 // ErrBadKey is returned for an invalid request key.
@@ -23,22 +23,22 @@
 
 // IssueKey returns a new random key that contains the time now.
 func IssueKey(now time.Time) string {
-	var raw [issuedRandom]byte
+	var raw [issuedRandomBytes]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("request: read random bytes: " + err.Error())
 	}
-	return issuedPrefix + strconv.FormatInt(now.UnixMilli(), timeBase) + "-" + hex.EncodeToString(raw[:])
+	return issuedPrefix + strconv.FormatInt(now.UnixMilli(), timestampRadix) + "-" + hex.EncodeToString(raw[:])
 }
 
 // IssuedAt returns the time at which a key was issued. It returns false for a
-// key chosen by the caller.
+// key that is not in the form of IssueKey.
 func IssuedAt(key string) (time.Time, bool) {
 	rest, ok := strings.CutPrefix(key, issuedPrefix)
 	if !ok {
 		return time.Time{}, false
 	}
 	stamp, _, ok := strings.Cut(rest, "-")
-	ms, err := strconv.ParseInt(stamp, timeBase, 64)
+	ms, err := strconv.ParseInt(stamp, timestampRadix, 64)
 	if !ok || err != nil {
 		return time.Time{}, false
 	}
--- a/src/request/move.go
+++ b/src/request/move.go
@@ -18,7 +18,7 @@
 
 // LeavingStream describes a stream whose engine is leaving.
 type LeavingStream struct {
-	Notice          time.Duration // time until the engine is gone, or 0
+	Notice          time.Duration // time until the engine is gone; 0 or less if there is none
 	RemainingTokens int           // upper bound on the tokens still to come
 	TokenInterval   time.Duration // time between two tokens
 	ContextTokens   int           // tokens of the prompt and the answer so far
--- a/src/request/outcome.go
+++ b/src/request/outcome.go
@@ -34,7 +34,7 @@
 	// Fields of a completion.
 	Model   string   `json:"model,omitempty"`
 	Created int64    `json:"created,omitempty"` // Unix s
-	Finish  string   `json:"finish,omitempty"`
+	Finish  string   `json:"finish,omitempty"`  // finish reason
 	Prompt  int      `json:"prompt_tokens,omitempty"`
 	Cached  int      `json:"cached_tokens,omitempty"`
 	Tokens  []string `json:"tokens,omitempty"` // stored in case the coordinator is lost
--- a/src/request/window.go
+++ b/src/request/window.go
@@ -9,7 +9,7 @@
 	ratioUsed   = 0.8 // part of the ratio that a node uses
 	extraUsed   = 0.6 // part of a node's share of extra that it uses
 	startupUsed = 0.9 // part of the rest that a restarted process uses in its first window
-	windowSlots = 20
+	windowSlots = 20  // per window; one more is kept, as the oldest is partly in the window
 )
 
 // WindowBudget limits retries over all nodes to a ratio of the requests in a
--- a/src/request/window_test.go
+++ b/src/request/window_test.go
@@ -53,7 +53,8 @@
 	})
 }
 
-// Issue 19, BUDGET: each life of a process startedAt with a whole share, so that lives added up to more than is allowed.
+// Regression test: each process started with a full share, so that several
+// restarts in one window exceeded the budget.
 func TestRetriesAcrossRestartsStayWithinTheBudget(t *testing.T) {
 	const (
 		ratio, extra = 0.2, 58.0
@@ -68,7 +69,7 @@
 		for i := range budgets {
 			budgets[i] = NewWindowBudget(ratio, extra, window, true)
 		}
-		// Steady requests, whatever the rate; retries as many as the budgets give at any time.
+		// Requests arrive at a constant rate; retries are sent whenever the budgets allow.
 		rate := rapid.IntRange(0, 12).Draw(t, "requests per step")
 		steps := rapid.IntRange(150, 300).Draw(t, "steps")
 		retries := make([]float64, steps)
