--- a/demo/run.sh
+++ b/demo/run.sh
@@ -40,7 +40,7 @@
 bin/crankctl apply -f "$run/event.yaml" --wait
 event_ready() { bin/crankctl status | grep -E 'saturday-rides +(Ready|InForce)'; }
 wait_for "the event is ready before its start" event_ready
-for a in 7101 7201 7301; do wait_for "node at $a is ready" curl -fsS "http://127.0.0.1:$a/readyz"; done
+for port in 7101 7201 7301; do wait_for "the node at port $port is ready" curl -fsS "http://127.0.0.1:$port/readyz"; done
 echo "== chat request of the customer ride-leaders"
 bin/crankctl --key demo-ride-key send --model climb --max-tokens 40 "Describe the climb to the pass for my Saturday group."
 echo "== booking of the customer clinics, which must run at most once"
--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -195,6 +195,7 @@
 	}
 }
 
+// enqueueNotice drops the notice if the queue is full.
 func (n *Node) enqueueNotice(item notice) {
 	select {
 	case n.notices <- item:
@@ -220,8 +221,8 @@
 	return &peer.Empty{}, nil
 }
 
-// Inventory returns the applied revision and, on request, the epochs of the
-// shards that this node is ready for.
+// Inventory returns the revision up to which this node's view is complete and, on
+// request, the epochs of the shards that it is ready for.
 func (n *Node) Inventory(_ context.Context, req *peer.InventoryRequest) (*peer.InventoryResponse, error) {
 	resp := &peer.InventoryResponse{Node: n.self.Name, Complete: n.revision()}
 	if !req.Shards {
@@ -233,7 +234,7 @@
 	return resp, nil
 }
 
-// The claim methods of peer.Peer are implemented by the coordinator.
+// The remaining methods of peer.Peer are implemented by the coordinator.
 
 func (n *Node) Claim(ctx context.Context, req *peer.ClaimRequest) (*peer.ClaimResponse, error) {
 	return n.coord.Claim(ctx, req)
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -207,7 +207,7 @@
 	endpoints := []struct {
 		addr    string
 		handler http.Handler
-		count   *telemetry.Traffic
+		traffic *telemetry.Traffic
 	}{
 		{n.settings.Listen.Callers, n.callers.Handler(), nil},
 		{n.settings.Listen.Peers, peer.RequireSecret(n.settings.Secrets.Peer, peerServer), &n.peerServerTraffic},
@@ -219,8 +219,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if endpoint.count != nil {
-			ln = endpoint.count.Listen(ln)
+		if endpoint.traffic != nil {
+			ln = endpoint.traffic.Listen(ln)
 		}
 		srv := &http.Server{Handler: endpoint.handler, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: n.settings.Limits.HeaderBytes, IdleTimeout: 2 * time.Minute}
 		servers = append(servers, srv)
@@ -302,7 +302,8 @@
 }
 
 // peerLoadFactor returns the open requests of the other nodes relative to those of
-// this node, scaled by the fraction of engines that this node uses.
+// this node, at most the number of other nodes, scaled by the fraction of engines
+// that this node uses.
 func (n *Node) peerLoadFactor() float64 {
 	load, others := 0, 0
 	for _, node := range n.fleet.Nodes() {
--- a/src/entry/operator.go
+++ b/src/entry/operator.go
@@ -21,7 +21,7 @@
 	Phase            int                 `json:"phase"` // 0 serving, 1 leaving, 2 refusing
 	CompleteRevision int64               `json:"complete_revision"`
 	RevisionSource   string              `json:"complete_from"` // "kv" or "peer"
-	Versions         map[string]int64    `json:"versions"`
+	Versions         map[string]int64    `json:"versions"`      // revisions by key
 	Nodes            []member.Node       `json:"nodes"`
 	Suspects         []string            `json:"suspects"`
 	Upstreams        []upstream.Dump     `json:"upstreams"`
@@ -30,16 +30,16 @@
 	Requests         []serve.FlightDump  `json:"requests"`
 	Queues           []serve.QueueDump   `json:"queues"`
 	Shards           map[int]ShardState  `json:"shards_kept"`
-	Records          int                 `json:"records"`
-	MapShards        int                 `json:"map_shards"`
-	PassiveShards    int                 `json:"map_passive"`
+	Records          int                 `json:"records"`       // claim records kept
+	MapShards        int                 `json:"map_shards"`    // shards in the shard map
+	PassiveShards    int                 `json:"map_passive"`   // of these, not active yet
 	Traffic          map[string][2]int64 `json:"control_bytes"` // bytes in and out, by channel
 }
 
 // ShardState describes a shard that this node keeps.
 type ShardState struct {
 	Epoch int64 `json:"epoch"`
-	Ready int64 `json:"ready"`
+	Ready int64 `json:"ready"` // epoch that this node is ready for, or 0
 }
 
 func (n *Node) state() State {
--- a/src/entry/shardmap.go
+++ b/src/entry/shardmap.go
@@ -72,7 +72,8 @@
 	n.inventories(ctx, targets, false)
 }
 
-// inventories fetches the ready shards and their epochs from nodes in parallel.
+// inventories fetches the ready shards and their epochs from nodes in parallel. If
+// shards is false, the calls only test whether the nodes respond.
 func (n *Node) inventories(ctx context.Context, nodes []member.Node, shards bool) map[string]map[int]int64 {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -133,8 +134,8 @@
 	}
 }
 
-// waitRevision waits until the view includes revision rev, so that the next round
-// does not start from an outdated map.
+// waitRevision waits up to peerCallTimeout until the view includes revision rev, so
+// that the next round does not start from an outdated map.
 func (n *Node) waitRevision(ctx context.Context, rev int64) {
 	timeout := time.After(peerCallTimeout)
 	for n.revision() < rev {
--- a/src/openai/request.go
+++ b/src/openai/request.go
@@ -8,7 +8,7 @@
 	"github.com/samber/oops"
 )
 
-// ErrBadRequest is wrapped by all errors of an invalid request.
+// ErrBadRequest is wrapped by all errors that Parse returns.
 var ErrBadRequest = errors.New("bad request")
 
 // DefaultMaxTokens is the completion limit of a request without max_tokens.
--- a/src/ports/kv.go
+++ b/src/ports/kv.go
@@ -16,10 +16,11 @@
 	"github.com/crankridge/crankridge/src/conn"
 )
 
-// Errors of the key-value service. A write that fails with ErrUnavailable may
-// have taken effect; the caller must read the key before it writes again.
+// Errors of the key-value service and, for ErrUnavailable, of the cloud API. A write
+// that fails with ErrUnavailable may have taken effect; the caller must read the
+// state before it writes again.
 var (
-	ErrUnavailable = errors.New("key-value service unavailable")
+	ErrUnavailable = errors.New("platform service unavailable")
 	ErrCompacted   = errors.New("watch revision has been compacted")
 	ErrLeaseGone   = errors.New("lease not found or expired")
 )
@@ -148,8 +149,8 @@
 	Revision int64
 }
 
-// watchIdleTimeout is the time without a message after which a watch is
-// restarted, since a stalled connection is not detected otherwise.
+// watchIdleTimeout is the time without a message after which a watch is restarted.
+// The transport does not detect connections that stall after the response header.
 const watchIdleTimeout = 5 * time.Second
 
 // errWatchIdle wraps context.DeadlineExceeded, so that it is handled as a timeout.
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -33,7 +33,7 @@
 	offers         []ports.Offer
 	faults         CloudFaults
 	shape          EngineShape
-	weights        string
+	weights        string       // address of the weight store
 	snapshots      []vmSnapshot // recent VM lists, for the lag fault
 	createdVMs     int
 	terminatedCost float64 // cost of terminated VMs
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -48,7 +48,7 @@
 	name         string
 	shape        EngineShape
 	faults       EngineFaults
-	weights      string
+	weights      string // address of the weight store
 	models       map[string]engine.LoadedModel
 	loading      map[string]bool
 	waiting      []*stream
@@ -59,8 +59,8 @@
 	events       []engine.CacheEvent
 	lastEventSeq int64
 	stateHistory []engine.State
-	leavingMS    int64
-	epoch        int64
+	leavingMS    int64 // Unix ms of the announced termination, or 0
+	epoch        int64 // epoch of the last order accepted
 	lastArrival  int64
 	wake         chan struct{}
 	stopped      chan struct{}
@@ -91,7 +91,7 @@
 	done           bool
 	canceled       bool
 	changed        chan struct{}
-	readersChanged time.Time // when a reader last came or went
+	readersChanged time.Time // when a reader last connected or disconnected
 	readers        int
 }
 
@@ -186,13 +186,13 @@
 func (e *Engine) step() time.Duration {
 	e.admit()
 	slowdown := max(e.faults.Slow, 1)
-	step := (e.shape.StepMS + e.shape.StepPerSeq*float64(len(e.running)-1)) * slowdown
-	budget := int(e.shape.PrefillTPS * step / 1000 / slowdown)
+	stepMS := (e.shape.StepMS + e.shape.StepPerSeq*float64(len(e.running)-1)) * slowdown
+	prefillBudget := int(e.shape.PrefillTPS * stepMS / 1000 / slowdown) // tokens
 	var running []*stream
 	for _, s := range e.running {
 		if s.pendingPrefill > 0 && !s.canceled {
-			tokens := min(s.pendingPrefill, max(budget, 1))
-			budget -= tokens
+			tokens := min(s.pendingPrefill, max(prefillBudget, 1))
+			prefillBudget -= tokens
 			s.pendingPrefill -= tokens
 			e.totals.Prefilled += int64(tokens)
 			if s.pendingPrefill == 0 {
@@ -210,7 +210,7 @@
 	}
 	e.running = running
 	e.cancelOrphans()
-	return time.Duration(step * float64(time.Millisecond))
+	return time.Duration(stepMS * float64(time.Millisecond))
 }
 
 func (e *Engine) admit() {
@@ -363,7 +363,7 @@
 func countTokens(text string) int { return len(strings.Fields(text)) }
 
 var vocabulary = strings.Fields(`gravel climb ridge valley bridge descent gentle steep left right north south
-river forest mile summit corner wind shade pavement loose narrow wide slowdown careful water rest view meadow
+river forest mile summit corner wind shade pavement loose narrow wide slow careful water rest view meadow
 creek pass saddle fork trail road town cafe start finish rider group pace gear brake turn hold keep watch for the a
 and then after before at on`)
 
--- a/src/standin/enginehttp.go
+++ b/src/standin/enginehttp.go
@@ -40,7 +40,7 @@
 }
 
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
 		return
 	}
@@ -111,13 +111,13 @@
 	for {
 		e.mu.Lock()
 		tokens, done, canceled, changed := s.tokens, s.done, s.canceled, s.changed
-		cut := e.faults.DisconnectAfterTokens
+		disconnectAfter := e.faults.DisconnectAfterTokens
 		e.mu.Unlock()
 		for sent < len(tokens) {
 			sent++
 			last := done && sent == len(tokens)
 			writeToken(w, s, sent, tokens[sent-1], last)
-			if cut > 0 && sent-after >= cut && !last {
+			if disconnectAfter > 0 && sent-after >= disconnectAfter && !last {
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -282,11 +282,11 @@
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	var order engine.Import
-	if !readJSON(w, r, &order) {
+	var req engine.Import
+	if !readJSON(w, r, &req) {
 		return
 	}
-	resp, err := http.Get("http://" + order.Source + "/v1/kv/export/" + order.Stream)
+	resp, err := http.Get("http://" + req.Source + "/v1/kv/export/" + req.Stream)
 	if err != nil {
 		http.Error(w, "source unreachable", http.StatusServiceUnavailable)
 		return
--- a/src/standin/kv.go
+++ b/src/standin/kv.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxHistory            = 20000
+	maxHistory            = 20000 // events
 	leaseSweepInterval    = 200 * time.Millisecond
 	watchProgressInterval = 2 * time.Second
-	maxRequestBody        = 64 << 20
+	maxRequestBytes       = 64 << 20
 )
 
 // KVFaults are the faults that the key-value service simulates.
@@ -27,7 +27,7 @@
 	Down          bool `json:"down"`
 	DelayMS       int  `json:"delay_ms"`
 	DropResponses int  `json:"lose_answers"` // number of writes to perform without a response
-	StaleReads    bool `json:"stale_reads"`  // range requests return the data of the time when this was set
+	StaleReads    bool `json:"stale_reads"`  // range requests return the data as of when this was set
 }
 
 // KV is an in-memory key-value service with the JSON API of etcd.
@@ -40,7 +40,7 @@
 	leases    map[int64]*kvLease
 	lastLease int64
 	changed   chan struct{}
-	down      chan struct{}
+	down      chan struct{} // closed while the service is down
 	faults    KVFaults
 	stale     *ports.WireRangeResult // all data as of the start of the stale-reads fault
 	calls     map[string]int64
@@ -353,7 +353,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, dst any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBody)).Decode(dst)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(dst)
 	if err != nil {
 		http.Error(w, "bad body: "+err.Error(), http.StatusBadRequest)
 	}
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -20,8 +20,8 @@
 	HeaderNotStarted = "Crankridge-Not-Started"
 )
 
-// ServiceFaults are the faults that a plain service simulates. Counts are of the
-// next calls.
+// ServiceFaults are the faults that a plain service simulates. Counts apply to
+// the next calls.
 type ServiceFaults struct {
 	DelayMS     int  `json:"delay_ms"`     // time between execution and response
 	ResetBefore int  `json:"reset_before"` // calls reset before execution
@@ -43,8 +43,8 @@
 
 // NewService returns a service. With checksFencing it rejects calls whose fencing
 // token is older than the last one accepted for the same key.
-func NewService(name string, fencing bool) *Service {
-	return &Service{name: name, checksFencing: fencing, runs: map[string]int{}, fencingTokens: map[string]int64{}}
+func NewService(name string, checksFencing bool) *Service {
+	return &Service{name: name, checksFencing: checksFencing, runs: map[string]int{}, fencingTokens: map[string]int64{}}
 }
 
 // Handler serves calls on all paths, and the admin API.
@@ -85,7 +85,7 @@
 		_, _ = io.ReadFull(r.Body, make([]byte, 1))
 		panic(http.ErrAbortHandler)
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
 		return
 	}
