--- a/cmd/crank-gateway/main.go
+++ b/cmd/crank-gateway/main.go
@@ -1,4 +1,4 @@
-// Crank-gateway serves callers of the routes that operators configure on the users' platform.
+// Crank-gateway forwards client requests according to the routes that operators configure on the platform.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/crankridge/crankridge/src/process"
 )
 
-const description = "Crank-gateway serves callers of the routes that operators configure on the users' platform."
+const description = "Crank-gateway forwards client requests according to the routes that operators configure on the platform."
 
 func main() {
 	process.Main("crank-gateway", description, platform.Load, run)
--- a/src/conn/stall_test.go
+++ b/src/conn/stall_test.go
@@ -41,7 +41,7 @@
 
 func (s *stallingServer) stall() { s.stalledUpTo.Store(s.opened.Load()) }
 
-// Issue 19: each pooled connection to the store had to time out separately.
+// Issue 19: each pooled connection to the key-value service had to time out separately.
 func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
 	is := is.New(t)
 	s := &stallingServer{}
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -30,7 +30,7 @@
 	maxJournalEntries   = 4096
 	rolloutQueryTimeout = time.Second
 	engineTimeout       = 2 * time.Second
-	shutdownTimeout     = 5 * time.Second
+	serverTimeout       = 5 * time.Second // of reading request headers and of shutdown
 )
 
 // Process is a crank-control instance.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: p.handler(), ReadHeaderTimeout: shutdownTimeout}
+	srv := &http.Server{Handler: p.handler(), ReadHeaderTimeout: serverTimeout}
 	go func() { _ = srv.Serve(ln) }()
 	klog.InfoS("started", "node", p.cfg.Node.Name, "operators", p.cfg.Listen.Operators, "planner", !p.cfg.Planner.Disabled)
 	loops := []func(context.Context){func(ctx context.Context) { p.view.Follow(ctx, p.kv, view.Prefix) }, p.followView}
@@ -88,7 +88,7 @@
 		wg.Go(func() { loop(ctx) })
 	}
 	wg.Wait()
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), serverTimeout)
 	defer cancel()
 	_ = srv.Shutdown(shutdownCtx)
 	klog.InfoS("stopped", "node", p.cfg.Node.Name)
@@ -176,7 +176,7 @@
 	Intents          []plan.Intent         `json:"intents"`
 	Nodes            []member.Node         `json:"nodes"`
 	Recent           []telemetry.Decision  `json:"recent"`
-	Traffic          map[string][2]int64   `json:"control_bytes"` // by channel: in, out
+	Traffic          map[string][2]int64   `json:"control_bytes"` // by channel: bytes in, bytes out
 }
 
 const maxRecentDecisions = 50
--- a/src/control/leader_lease.go
+++ b/src/control/leader_lease.go
@@ -18,14 +18,15 @@
 
 const (
 	// safeTTLFraction is the part of the TTL, counted from before the last
-	// renewal, during which the holder may act. The rest is a margin for clock drift.
+	// renewal, during which the holder may start calls. The rest is a margin for
+	// calls still in flight and for a holder that is paused after its check.
 	safeTTLFraction = 0.6
 	renewalsPerTTL  = 4
 )
 
-// leaderLease elects the process that runs the planner. The epoch is the
-// revision at which the key was written; it increases with each holder and
-// serves as the fencing token of orders to engines.
+// leaderLease is the planner lease: it elects the process that runs the planner.
+// The epoch is the revision at which the key was written; it increases with each
+// holder and serves as the fencing token of orders to engines.
 type leaderLease struct {
 	kv         *ports.KV
 	view       *view.View
--- a/src/control/planner.go
+++ b/src/control/planner.go
@@ -45,7 +45,7 @@
 	offersReadAt time.Time
 	rounds       int64
 	lastResult   plan.Result
-	mu           sync.Mutex // guards rounds and lastResult, which the state dump reads
+	mu           sync.Mutex // guards rounds and lastResult, which /debug/state reads
 }
 
 // engineState is the last state read from an engine.
@@ -159,11 +159,11 @@
 	maps.DeleteFunc(p.engineStates, func(name string, _ engineState) bool { return !live[name] })
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, maxConcurrentQueries)
+	sem := make(chan struct{}, maxConcurrentQueries)
 	for _, vm := range stale {
-		slots <- struct{}{}
+		sem <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-sem }()
 			st, err := p.engines.State(ctx, vm.Address, skipCacheEvents)
 			mu.Lock()
 			p.engineStates[vm.Name] = engineState{State: st, readAt: time.Now(), failed: err != nil}
@@ -173,8 +173,8 @@
 	wg.Wait()
 }
 
-// skipCacheEvents is above all event sequence numbers, so that an engine returns
-// no cache events.
+// skipCacheEvents is above all sequence numbers of cache events, so that an engine
+// returns none.
 const skipCacheEvents = 1 << 62
 
 func (p *planner) respondingEngines() map[string]engine.State {
--- a/src/ctl/ctl.go
+++ b/src/ctl/ctl.go
@@ -1,5 +1,5 @@
 // Package ctl implements crankctl, the command line tool for operators. It also
-// sends single requests and load as a customer.
+// sends single requests and generates load as a customer.
 package ctl
 
 import (
@@ -42,15 +42,15 @@
 	globals
 	Apply      applyCmd      `cmd:"" help:"Create or change resources from a YAML file of one or more documents."`
 	Get        getCmd        `cmd:"" help:"Show resources: crankctl get events, crankctl get model climb -o yaml."`
-	Edit       editCmd       `cmd:"" help:"Print a resource as YAML, ready to be changed and applied: crankctl edit event saturday > e.yaml."`
+	Edit       editCmd       `cmd:"" help:"Print a resource as YAML, to be edited and applied: crankctl edit event saturday > e.yaml."`
 	Delete     deleteCmd     `cmd:"" help:"Delete a resource."`
-	Watch      watchCmd      `cmd:"" help:"Show every change as it comes, from a version on."`
-	Status     statusCmd     `cmd:"" help:"Show events, nodes and upstreams at a glance."`
-	Explain    explainCmd    `cmd:"" help:"Tell what was decided about an event, request or upstream, when and why."`
-	Dump       dumpCmd       `cmd:"" help:"Print the whole state of a process as JSON."`
+	Watch      watchCmd      `cmd:"" help:"Watch changes, from a given version on."`
+	Status     statusCmd     `cmd:"" help:"Show events, nodes and upstreams."`
+	Explain    explainCmd    `cmd:"" help:"Show the decisions about an event, request or upstream, with times and reasons."`
+	Dump       dumpCmd       `cmd:"" help:"Print the state of processes as JSON."`
 	Endpoints  endpointsCmd  `cmd:"" help:"Show which addresses a caller should use."`
 	Send       sendCmd       `cmd:"" help:"Send a chat request or a service call as a caller would."`
-	Load       loadCmd       `cmd:"" help:"Send requests at given times and measure what comes back."`
+	Load       loadCmd       `cmd:"" help:"Generate load and report latency and throughput."`
 	Completion completionCmd `cmd:"" help:"Print a bash completion script: source <(crankctl completion)."`
 }
 
--- a/src/ctl/inspect.go
+++ b/src/ctl/inspect.go
@@ -22,7 +22,7 @@
 )
 
 type watchCmd struct {
-	From int64 `help:"Version to start after; now if left out."`
+	From int64 `help:"Version to start after; defaults to the current version."`
 }
 
 // Run prints changes until interrupted. A broken watch is resumed after the last
@@ -124,10 +124,10 @@
 }
 
 type explainCmd struct {
-	What string   `arg:"" help:"event, request or upstream." enum:"event,request,upstream"`
-	Name string   `arg:"" help:"Its name; for a request customer/key."`
-	At   []string `help:"Operators' addresses of crank-entry to ask about a request." sep:","`
-	Logs []string `help:"Log files of crank-gateway processes to find a request's id in instead; - for standard input." sep:","`
+	What string   `arg:"" help:"Type of the subject: event, request or upstream." enum:"event,request,upstream"`
+	Name string   `arg:"" help:"Name of the subject; customer/key for a request."`
+	At   []string `help:"Operator addresses of crank-entry to query about a request; defaults to all nodes." sep:","`
+	Logs []string `help:"Search these log files of crank-gateway for a request ID instead; - for standard input." sep:","`
 }
 
 // explainFromLogs prints what the logs of all nodes say about a request.
@@ -204,7 +204,7 @@
 }
 
 type dumpCmd struct {
-	Addr []string `arg:"" optional:"" help:"Operators' addresses; all nodes if left out."`
+	Addr []string `arg:"" optional:"" help:"Operator addresses; defaults to all nodes and --control."`
 }
 
 // Run prints the state of each process as JSON, by address.
--- a/src/ctl/load.go
+++ b/src/ctl/load.go
@@ -21,22 +21,22 @@
 )
 
 type loadCmd struct {
-	Model      string        `help:"Model to ask." required:""`
-	Rate       float64       `help:"Requests a second, arriving at random (Poisson)." default:"20"`
-	Duration   time.Duration `help:"How long requests are sent." default:"30s"`
-	Surge      float64       `help:"Factor on the rate during the surge; 1 for none." default:"1"`
-	SurgeStart time.Duration `help:"When the surge begins." default:"5s"`
-	SurgeRamp  time.Duration `help:"Time from the plain to the full rate." default:"5s"`
-	SurgeFor   time.Duration `help:"How long the full rate is kept." default:"10s"`
-	MaxTokens  int           `help:"Tokens of each answer." default:"40"`
-	Prefixes   int           `help:"Number of different beginnings that prompts share." default:"20"`
-	PrefixLen  int           `help:"Words of such a beginning." default:"300"`
-	OwnLen     int           `help:"Words of a prompt's own part." default:"30"`
+	Model      string        `help:"Model to send requests to." required:""`
+	Rate       float64       `help:"Mean request rate per second, with Poisson arrivals." default:"20"`
+	Duration   time.Duration `help:"Time during which requests are sent." default:"30s"`
+	Surge      float64       `help:"Rate multiplier of the surge; 1 for no surge." default:"1"`
+	SurgeStart time.Duration `help:"Time from the start of the run to the surge." default:"5s"`
+	SurgeRamp  time.Duration `help:"Time over which the rate rises to that of the surge." default:"5s"`
+	SurgeFor   time.Duration `help:"Time for which the surge rate is held after the ramp." default:"10s"`
+	MaxTokens  int           `help:"Maximum number of tokens per answer." default:"40"`
+	Prefixes   int           `help:"Number of distinct prefixes that prompts share." default:"20"`
+	PrefixLen  int           `help:"Length of a shared prefix, in words." default:"300"`
+	OwnLen     int           `help:"Length of the unique part of a prompt, in words." default:"30"`
 	Deadline   time.Duration `help:"Deadline of each request." default:"30s"`
-	FirstToken time.Duration `help:"Target for the first token." default:"810ms"`
-	Between    time.Duration `help:"Target between two tokens." default:"31ms"`
-	Seed       uint64        `help:"Seed of arrivals and prompts." default:"1"`
-	Keys       []string      `help:"Customers' bearer keys, used in turn; --key if left out." sep:","`
+	FirstToken time.Duration `help:"Target for the time to first token." default:"810ms"`
+	Between    time.Duration `help:"Target for the p95 interval between tokens of a request." default:"31ms"`
+	Seed       uint64        `help:"Random seed of arrival times and prompts." default:"1"`
+	Keys       []string      `help:"Bearer keys of customers, used in turn; defaults to --key." sep:","`
 	JSON       bool          `help:"Print JSON instead of a table."`
 }
 
@@ -83,8 +83,8 @@
 }
 
 const (
-	histogramMax    = int64(10 * time.Minute / time.Microsecond)
-	histogramDigits = 3
+	histogramMax    = int64(10 * time.Minute / time.Microsecond) // in µs, the unit of recorded values
+	histogramDigits = 3                                          // significant decimal digits
 )
 
 // Run sends the load and prints the report.
--- a/src/ctl/resources.go
+++ b/src/ctl/resources.go
@@ -22,9 +22,9 @@
 
 type applyCmd struct {
 	File    string        `help:"YAML file, - for standard input." short:"f" required:""`
-	Wait    bool          `help:"Return when the change is in force on every live node."`
-	Timeout time.Duration `help:"How long to wait." default:"30s"`
-	DryRun  bool          `help:"Check on the server, change nothing."`
+	Wait    bool          `help:"Wait until the change is in force on all live nodes."`
+	Timeout time.Duration `help:"Maximum time that --wait waits." default:"30s"`
+	DryRun  bool          `help:"Validate on the server without changing anything."`
 }
 
 // Run applies the documents of the file in order and stops at the first error.
@@ -148,9 +148,9 @@
 }
 
 type getCmd struct {
-	Kind   string `arg:"" help:"events, models, adapters, services, customers."`
-	Name   string `arg:"" optional:"" help:"One resource only."`
-	Output string `help:"table, yaml or json." short:"o" enum:"table,yaml,json" default:"table"`
+	Kind   string `arg:"" help:"Kind: events, models, adapters, services or customers."`
+	Name   string `arg:"" optional:"" help:"Name of a single resource to show."`
+	Output string `help:"Output format: table, yaml or json." short:"o" enum:"table,yaml,json" default:"table"`
 }
 
 // Run shows resources.
@@ -244,7 +244,7 @@
 type deleteCmd struct {
 	Kind    string `arg:""`
 	Name    string `arg:""`
-	Version int64  `help:"Delete only this version; the present one if left out."`
+	Version int64  `help:"Delete only if the resource is at this version; defaults to the current version."`
 }
 
 // Run deletes a resource.
--- a/src/ctl/send.go
+++ b/src/ctl/send.go
@@ -19,12 +19,12 @@
 )
 
 type sendCmd struct {
-	Model         string `help:"Model to chat with."`
-	MaxTokens     int    `help:"Most tokens of the answer." default:"64"`
+	Model         string `help:"Model to send a chat request to."`
+	MaxTokens     int    `help:"Maximum number of tokens of the answer." default:"64"`
 	Service       string `help:"Plain service to call instead of a model."`
-	Path          string `help:"Path at the service." default:"/"`
-	NotRepeatable bool   `help:"The request must run at most once."`
-	RequestKey    string `help:"Key of the request; one is made if left out."`
+	Path          string `help:"Path of the service call." default:"/"`
+	NotRepeatable bool   `help:"Run the request at most once."`
+	RequestKey    string `help:"Idempotency key; generated if omitted."`
 	Text          string `arg:"" optional:"" help:"Prompt, or body of the service call."`
 }
 
--- a/src/ctl/trace.go
+++ b/src/ctl/trace.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if len(trace.lines) == 0 {
-		trace.conclusion = "no log line has this id: the request succeeded at its first server, its client disconnected before it was read, or its node was killed (check for started lines)"
+		trace.conclusion = "no log line has this id: the request succeeded at its first server, its client disconnected before it was read, or its node was killed (look for a later \"started\" line of the node)"
 		return trace
 	}
 	slices.SortStableFunc(trace.lines, func(a, b logLine) int { return a.time.Compare(b.time) })
--- a/src/hangup/hangup.go
+++ b/src/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup ignores SIGHUP from process start, before other packages are
-// initialized: its only imports are os/signal and syscall. Use os/signal.Notify
-// to handle the signal.
+// Package hangup ignores SIGHUP from package initialization on, so that a signal
+// that arrives before os/signal.Notify is called does not terminate the process.
+// It imports only os/signal and syscall so that it is initialized early.
 package hangup
 
 import (
--- a/src/member/node.go
+++ b/src/member/node.go
@@ -46,7 +46,7 @@
 
 const (
 	// heartbeatTTL is how long a node without a record is kept after its last
-	// message.
+	// message, and how long another node's suspicion of a node is valid.
 	heartbeatTTL = 10 * time.Second
 	// suspectTTL is how long new work avoids a node after a failed call.
 	suspectTTL = 3 * time.Second
@@ -104,8 +104,8 @@
 }
 
 // Nodes lists the live nodes by name: those with a record, and those whose record
-// is gone but that have sent a message within heartbeatTTL. Nodes on terminated
-// VMs are left out.
+// is gone but that have sent a message within heartbeatTTL or are this node. Nodes
+// on terminated VMs are left out.
 func (f *Fleet) Nodes() []Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,8 +164,8 @@
 		delete(f.failing, name)
 		delete(f.lastFailure, name)
 	default:
-		_, since := f.failing[name]
-		if !since {
+		_, alreadyFailing := f.failing[name]
+		if !alreadyFailing {
 			f.failing[name] = f.now()
 			newlyFailing = name
 		}
--- a/src/member/register.go
+++ b/src/member/register.go
@@ -15,8 +15,8 @@
 
 const (
 	renewalsPerLease      = 3
-	registerRetryInterval = time.Second
-	reregisterSpread      = 6 // registrations after lost leases are spread over 1/reregisterSpread of a lease
+	registerRetryInterval = time.Second // also limits the call that revokes the lease
+	reregisterSpread      = 6           // registrations after lost leases are spread over 1/reregisterSpread of a lease
 )
 
 // Registrar keeps a node's record in the key-value service under a lease.
--- a/src/operator/server.go
+++ b/src/operator/server.go
@@ -44,7 +44,7 @@
 type RolloutStatus struct {
 	Version int64    `json:"version"`
 	Nodes   int      `json:"nodes"`
-	Have    int      `json:"have"`
+	Have    int      `json:"have"` // nodes that have applied the version
 	Lagging []string `json:"lagging,omitempty"`
 }
 
--- a/src/process/main.go
+++ b/src/process/main.go
@@ -25,9 +25,9 @@
 )
 
 type flags struct {
-	Settings string `help:"Settings file (YAML); docs/SETTINGS.md lists every field." required:"" short:"s" type:"path"`
-	Check    bool   `help:"Check the settings and exit."`
-	Verbose  int    `help:"Log more: 1 for retries and lost connections." short:"v" default:"0"`
+	Settings string `help:"Settings file: YAML (docs/SETTINGS.md lists every field), or name=value lines for crank-gateway." required:"" short:"s" type:"path"`
+	Check    bool   `help:"Validate the settings and exit."`
+	Verbose  int    `help:"Log verbosity; 1 adds errors that are retried and, in crank-gateway, every request." short:"v" default:"0"`
 }
 
 // Main loads the settings and calls run with a context that is canceled on
--- a/src/process/reload.go
+++ b/src/process/reload.go
@@ -14,8 +14,9 @@
 // file is checked.
 const pollInterval = time.Second
 
-// Reload loads and applies the settings at path on each SIGHUP and each change of
-// the file, until ctx is done. Invalid settings are not applied.
+// Reload loads and applies the settings at path on each SIGHUP and whenever the
+// file's modification time advances, until ctx is done. Invalid settings are not
+// applied.
 func Reload[T any](ctx context.Context, path string, load func(path string) (T, error), apply func(T)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/src/serve/call.go
+++ b/src/serve/call.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// strippedHeaders are removed from forwarded requests and answers. The caller's
-// key headers are replaced by Crankridge-Request-Key.
+// strippedHeaders are removed from forwarded requests and answers. The service
+// receives the idempotency key as Crankridge-Request-Key instead.
 var strippedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Authorization", "Idempotency-Key", "X-Idempotency-Key", "Content-Length",
@@ -97,7 +97,7 @@
 		return sendResult{err: err, connected: true}
 	}
 	if resp.Header.Get(headerNotStarted) != "" {
-		return sendResult{notStarted: true, connected: true, err: fmt.Errorf("service refused: %d", resp.StatusCode)}
+		return sendResult{notStarted: true, connected: true, err: fmt.Errorf("service refused the call with status %d", resp.StatusCode)}
 	}
 	return sendResult{connected: true, answer: s.toAnswer(resp, body)}
 }
@@ -172,9 +172,9 @@
 		return c.interruptedAnswer(f, req)
 	}
 	if sent {
-		return request.Indeterminate(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", req.Call.Service, lastErr), request.Jitter(shardRetryAfter))
+		return request.Indeterminate(codeUpstreamLost, fmt.Sprintf("service %s was lost on the way: %v", req.Call.Service, lastErr), request.Jitter(defaultRetryAfter))
 	}
-	return request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+req.Call.Service+" takes calls just now", request.Jitter(shardRetryAfter))
+	return request.Refused(http.StatusServiceUnavailable, codeNoUpstream, "no server of service "+req.Call.Service+" takes calls just now", request.Jitter(defaultRetryAfter))
 }
 
 func (c *Coordinator) chooseServer(service string, avoid map[string]bool) (upstream.Candidate, bool) {
--- a/src/serve/claims.go
+++ b/src/serve/claims.go
@@ -15,7 +15,7 @@
 const (
 	maxClaimRounds    = 6
 	claimBackoff      = 10 * time.Millisecond
-	shardRetryAfter   = 2 * time.Second
+	defaultRetryAfter = 2 * time.Second
 	outcomeRetryAfter = 2 * time.Second
 )
 
@@ -89,7 +89,7 @@
 func (c *Coordinator) keepersUnavailable(f *request.Flight) *request.Answer {
 	c.decisions.Add(f.Key, "refused", "no two keepers of its shard answered")
 	r := request.Refused(http.StatusServiceUnavailable, codeNoKeepers,
-		"requests not repeatable cannot be taken for this key just now; nothing was sent", request.Jitter(shardRetryAfter))
+		"requests not repeatable cannot be taken for this key just now; nothing was sent", request.Jitter(defaultRetryAfter))
 	return &r
 }
 
@@ -218,7 +218,8 @@
 	return request.Indeterminate(codeCoordinatorLost, fmt.Sprintf("an earlier try was taken by node %s, which does not answer; ask again by the same key for its fate", holder.Node), request.Jitter(outcomeRetryAfter))
 }
 
-// replayTokens moves the tokens of a stored answer that the flight lacks into it.
+// replayTokens appends the tokens of a stored answer that the flight lacks and
+// clears them in the answer.
 func (c *Coordinator) replayTokens(f *request.Flight, r *request.Answer) {
 	_, delivered := f.Delivered()
 	for i, tok := range r.Tokens {
--- a/src/serve/completion.go
+++ b/src/serve/completion.go
@@ -37,12 +37,12 @@
 	flight         *request.Flight
 	req            Request
 	completion     *openai.Request
-	tries          int
-	recomputeCause string // metric label: why tokens of an earlier stream are recomputed
-	markedSent     bool   // the attempt is recorded as sent
-	sent           bool   // an engine may have received the request
-	usage          *openai.Usage
-	baseTokens     int // tokens delivered before the current stream
+	tries          int           // engine slots requested
+	recomputeCause string        // metric label: why tokens of an earlier stream are recomputed
+	markedSent     bool          // the attempt is recorded as sent
+	sent           bool          // an engine may have received the request
+	usage          *openai.Usage // last reported by an engine
+	baseTokens     int           // tokens delivered before the current stream
 	lastTokenAt    time.Time
 	avoid          map[string]bool
 	backoff        time.Duration
--- a/src/serve/coordinator.go
+++ b/src/serve/coordinator.go
@@ -1,5 +1,7 @@
 // Package serve implements the request coordinator, which claims, admits, routes,
-// streams, moves and settles requests, and the keeper RPCs that store claims.
+// streams, moves and settles requests, and the keeper RPCs that store claims. The
+// coordinator of a request is the node that received it; its keepers are the nodes
+// that store the records of its key's shard.
 package serve
 
 import (
@@ -213,7 +215,7 @@
 const maxYields = 4
 
 func yieldedAnswer() request.Answer {
-	return request.Refused(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(shardRetryAfter))
+	return request.Refused(http.StatusServiceUnavailable, codeYielded, "another try by the same key goes first", request.Jitter(defaultRetryAfter))
 }
 
 func (c *Coordinator) claimAndSend(ctx context.Context, f *request.Flight, req Request) request.Answer {
@@ -255,7 +257,8 @@
 }
 
 // settle reports the end of the attempt to the keepers before the caller is
-// answered, so that a caller that loses the answer can read it from them.
+// answered, so that a caller that loses the answer can read it from them. For a
+// non-repeatable request it waits until one of them has stored the answer.
 func (c *Coordinator) settle(f *request.Flight, req Request, answer request.Answer) {
 	if answer.Outcome == request.NotRun {
 		c.Attempts.Withdraw(f.Attempt, c.Now())
--- a/src/serve/follow.go
+++ b/src/serve/follow.go
@@ -122,8 +122,8 @@
 	return best
 }
 
-// interruptedAnswer is the answer to a flight that was cancelled, by its caller or by
-// the node's shutdown, or that passed its deadline.
+// interruptedAnswer is the answer to a flight that passed its deadline or was
+// cancelled: by its caller, because it was abandoned, or by the node's shutdown.
 func (c *Coordinator) interruptedAnswer(f *request.Flight, req Request) request.Answer {
 	if c.Attempts.Release(f.Attempt, c.Now()) {
 		return request.Refused(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
--- a/src/serve/move.go
+++ b/src/serve/move.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// takeOver reads a lost coordinator's stream from its beginning, so that nothing is
-// recomputed. It returns false if the stream cannot be read to its end.
+// takeOver reads a lost coordinator's stream after the tokens already delivered, so
+// that nothing is recomputed. It returns false if the stream cannot be read to its end.
 func (r *completionRun) takeOver(ctx context.Context, orphan *claim.Attempt) (request.Answer, bool) {
 	up, ok := r.coord.Registry.Get(orphan.Engine)
 	if !ok {
--- a/src/serve/queues.go
+++ b/src/serve/queues.go
@@ -21,7 +21,7 @@
 	initialHoldSeconds = 2.0  // until the first sample
 	minRetryAfter      = 500 * time.Millisecond
 	noEngineRetryAfter = 5 * time.Second
-	bytesPerToken      = 5.0
+	bytesPerToken      = 5.0 // estimate for prompts
 )
 
 // modelQueues holds one admission queue per model. Queued requests are dispatched
@@ -40,7 +40,8 @@
 	preemptible map[*completionRun]bool
 }
 
-// waiter is a queued request. Its engine slot is sent on the slot channel.
+// waiter is a request for an engine slot. If it is queued, the slot is sent on its
+// channel.
 type waiter struct {
 	promptBytes int
 	blocks      []uint64
@@ -61,6 +62,8 @@
 	go qs.dispatchLoop()
 }
 
+// forModel returns the queue of a model and creates it if necessary. The caller
+// must hold qs.mu.
 func (qs *modelQueues) forModel(model string) *modelQueue {
 	q := qs.byModel[model]
 	if q == nil {
@@ -138,8 +141,8 @@
 // preemptLowest preempts the stream of lowest priority if a request of an active
 // event is queued and a stream outside any event can be preempted. It returns the
 // stream's engine, which the queued request should take, or "". The preempted
-// stream keeps its tokens and queues to continue. Streams without a new token are
-// skipped, because they may not hold a slot yet.
+// stream keeps its tokens and queues to continue. Streams that have not produced
+// a new token are skipped, because they may still be queued at the engine.
 func (q *modelQueue) preemptLowest() (engine string) {
 	if q.queue.HighestPriority() < catalog.EventPriority {
 		return ""
@@ -195,7 +198,7 @@
 }
 
 // reserve chooses an engine and reserves a slot on it. The preferred engine is
-// chosen if it is a candidate.
+// chosen if it is a candidate. The caller must hold qs.mu.
 func (qs *modelQueues) reserve(model string, w *waiter, avoid map[string]bool, preferred string) (engineSlot, bool) {
 	cands := qs.coord.candidates(model, w.blocks)
 	if i := slices.IndexFunc(cands, func(c upstream.Candidate) bool { return c.Name == preferred }); i >= 0 {
@@ -211,7 +214,7 @@
 	return engineSlot{choice, qs.coord.Registry.Begin(choice.Name, uncached, w.blocks)}, true
 }
 
-// blockTokens is the average number of tokens in a prefix block.
+// blockTokens is the estimated number of tokens in a prefix block of 256 bytes.
 const blockTokens = 256 / bytesPerToken
 
 // acquireSlot reserves an engine slot, waiting in the queue if none is free. A new
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -43,7 +43,7 @@
 
 // PollEngines requests a load report from each engine of this node's subset that
 // has not sent one within the polling interval, until ctx ends. Answers also carry
-// reports, but a node without engine slots gets no answers. The interval is
+// reports, but a node whose requests are all queued gets none. The interval is
 // therefore shorter while requests are queued.
 func (c *Coordinator) PollEngines(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Explain returns the recorded decisions about a request key or an upstream, or all
+// Explain returns the recorded decisions about the request with a full key, or all
 // if subject is empty.
 func (c *Coordinator) Explain(subject string) []telemetry.Decision {
 	return c.decisions.ForSubject(subject)
@@ -137,7 +137,7 @@
 	Model   string  `json:"model"`
 	Waiting int     `json:"waiting"`
 	Bytes   int     `json:"bytes"`
-	HoldS   float64 `json:"hold_s"`
+	HoldS   float64 `json:"hold_s"` // average time a request holds its slot
 }
 
 // Queues returns the admission queues for the state dump.
--- a/src/serve/stream.go
+++ b/src/serve/stream.go
@@ -36,7 +36,7 @@
 }
 
 // readStream opens and reads a stream. It resumes the stream after a disconnect as
-// long as that yields new tokens.
+// long as that produces new tokens.
 func (r *completionRun) readStream(ctx context.Context, slot engineSlot, streamID string, open func(context.Context) error) error {
 	err := r.superviseRead(ctx, slot, streamID, open)
 	for errors.Is(err, engine.ErrBroken) && r.canResume(slot.Name) {
@@ -57,7 +57,7 @@
 func seedOf(key string) int64 { return int64(xxhash.Sum64String(key) >> 1) }
 
 // canResume reports whether a disconnected stream should be resumed: its engine is
-// not leaving, and it yielded tokens since it was last resumed.
+// not leaving, and it produced tokens since it was last resumed.
 func (r *completionRun) canResume(engineName string) bool {
 	if r.isLeaving(engineName) {
 		return false
@@ -122,13 +122,14 @@
 	}
 }
 
-// firstTokenTimeout returns the stall timeout for the first token, which allows for
-// its estimated latency.
+// firstTokenTimeout returns the stall timeout for the first token, which adds four
+// times its estimated latency.
 func (r *completionRun) firstTokenTimeout(slot engineSlot) time.Duration {
 	return r.coord.Settings.Routing.Stall + 4*slot.TTFT
 }
 
-// metaHandler processes the engine metadata in the head of an answer.
+// metaHandler returns a function that processes the engine state reported in the
+// headers of an answer.
 func (r *completionRun) metaHandler(engineName string) func(engine.Meta) {
 	return func(meta engine.Meta) {
 		if meta.LeavingMS > 0 {
--- a/src/settings/control.go
+++ b/src/settings/control.go
@@ -21,13 +21,13 @@
 type Planner struct {
 	Disabled      bool          `yaml:"disabled"`
 	LeaseTTL      time.Duration `yaml:"lease"`
-	Round         time.Duration `yaml:"round"`
+	Round         time.Duration `yaml:"round"` // interval between planning rounds
 	WeightsRate   float64       `yaml:"weights_bytes_per_second"`
-	Margin        time.Duration `yaml:"margin"`
-	BootTime      time.Duration `yaml:"boot"`
-	Recheck       time.Duration `yaml:"recheck"`
+	Margin        time.Duration `yaml:"margin"`  // added to the estimated time to boot a VM and load a model
+	BootTime      time.Duration `yaml:"boot"`    // estimated boot time of a VM
+	Recheck       time.Duration `yaml:"recheck"` // interval between state reads of an unchanged engine
 	KVTransferTPS float64       `yaml:"move_tokens_per_second"`
-	MaxServers    int           `yaml:"most_servers"`
+	MaxServers    int           `yaml:"most_servers"` // limit of bought VMs
 	VMPrefix      string        `yaml:"vm_prefix"`
 	// Spread false disables spreading over failure domains, for measurements only.
 	Spread       bool `yaml:"spread"`
--- a/src/settings/entry.go
+++ b/src/settings/entry.go
@@ -53,50 +53,51 @@
 	AnswerBytes  int           `yaml:"answer_bytes"`
 	QueueEntries int           `yaml:"queue_entries"`
 	QueueBytes   int           `yaml:"queue_bytes"`
-	Flights      int           `yaml:"flights"`
-	Deadline     time.Duration `yaml:"deadline"`
-	MaxDeadline  time.Duration `yaml:"deadline_most"`
-	FirstToken   time.Duration `yaml:"first_token"`
-	WriteStall   time.Duration `yaml:"write_stall"`
-	Orphan       time.Duration `yaml:"orphan"`
+	Flights      int           `yaml:"flights"`       // requests in progress
+	Deadline     time.Duration `yaml:"deadline"`      // for requests that set none
+	MaxDeadline  time.Duration `yaml:"deadline_most"` // that a request may set
+	FirstToken   time.Duration `yaml:"first_token"`   // default target for the time to first token
+	WriteStall   time.Duration `yaml:"write_stall"`   // timeout of a write to a caller
+	Orphan       time.Duration `yaml:"orphan"`        // time after which an unread repeatable request is dropped
 }
 
-// Claims configures how requests marked not repeatable are run at most once.
+// Claims configures the records of request keys, which ensure that a request
+// marked not repeatable runs at most once.
 type Claims struct {
 	Shards     int           `yaml:"shards"`
-	Window     time.Duration `yaml:"window"`
-	Timeout    time.Duration `yaml:"timeout"`
-	Records    int           `yaml:"records"`
-	KeptBytes  int           `yaml:"kept_bytes"`
-	SingleNode bool          `yaml:"single_node"`
-	Suspect    time.Duration `yaml:"suspect"`
+	Window     time.Duration `yaml:"window"`      // retention time of a record
+	Timeout    time.Duration `yaml:"timeout"`     // of a call to a keeper or coordinator
+	Records    int           `yaml:"records"`     // maximum number of records on a node
+	KeptBytes  int           `yaml:"kept_bytes"`  // larger answers are not stored
+	SingleNode bool          `yaml:"single_node"` // a single keeper may grant claims
+	Suspect    time.Duration `yaml:"suspect"`     // a node whose calls fail for longer is replaced as a keeper
 }
 
 // Routing configures how upstreams are monitored and selected.
 type Routing struct {
 	Policy    string        `yaml:"policy"`
-	Subset    int           `yaml:"subset"`
-	Report    time.Duration `yaml:"report"`
-	Stall     time.Duration `yaml:"stall"`
-	Overshoot float64       `yaml:"overshoot"`
+	Subset    int           `yaml:"subset"`    // engines of a model that this node uses; 0 for all
+	Report    time.Duration `yaml:"report"`    // age at which a new load report is requested
+	Stall     time.Duration `yaml:"stall"`     // time without a token after which another engine is tried
+	Overshoot float64       `yaml:"overshoot"` // maximum number of requests per engine slot
 }
 
 // Exchange configures the state exchange between nodes.
 type Exchange struct {
 	Interval time.Duration `yaml:"interval"`
-	Lease    time.Duration `yaml:"lease"`
+	Lease    time.Duration `yaml:"lease"` // TTL of the node's record in the key-value service
 }
 
 // Stop configures graceful shutdown.
 type Stop struct {
-	TTL   time.Duration `yaml:"ttl"`
-	Grace time.Duration `yaml:"grace"`
+	TTL   time.Duration `yaml:"ttl"`   // how long callers may use an address list, and a leaving node accepts requests
+	Grace time.Duration `yaml:"grace"` // time after TTL for open requests to end
 }
 
 // Retries configures a node's retry budget.
 type Retries struct {
-	Fraction float64 `yaml:"fraction"`
-	Burst    float64 `yaml:"burst"`
+	Fraction float64 `yaml:"fraction"` // retries per request
+	Burst    float64 `yaml:"burst"`    // retries that can accumulate
 }
 
 // DefaultEntry returns the values of fields that are not in the file.
--- a/src/settings/load.go
+++ b/src/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings loads and validates the YAML settings file of each binary.
-// docs/SETTINGS.md documents all fields.
+// Package settings loads and validates the YAML settings files of crank-entry,
+// crank-control and crank-standin. docs/SETTINGS.md documents all fields.
 package settings
 
 import (
--- a/src/settings/standin.go
+++ b/src/settings/standin.go
@@ -62,10 +62,10 @@
 	Slots       int     `yaml:"slots"`
 	PrefillTPS  float64 `yaml:"prefill_tps"`
 	StepMS      float64 `yaml:"step_ms"`
-	StepPerSeq  float64 `yaml:"step_per_seq"`
+	StepPerSeq  float64 `yaml:"step_per_seq"` // ms that each further stream adds to a step
 	CacheBlocks int     `yaml:"cache_blocks"`
-	MoveTPS     float64 `yaml:"move_tps"`
-	LagMS       int     `yaml:"lag_ms"`
+	MoveTPS     float64 `yaml:"move_tps"` // KV cache transfer rate, tokens per second
+	LagMS       int     `yaml:"lag_ms"`   // age of the load report
 }
 
 // StandinEngine configures a model engine.
--- a/src/telemetry/gateway.go
+++ b/src/telemetry/gateway.go
@@ -69,7 +69,7 @@
 	g.refusals.Add(context.Background(), 1, attrs("code", code))
 }
 
-// Sent counts a request sent to an upstream, by outcome.
+// Sent counts a request sent to an upstream, by service and outcome.
 func (g *GatewayMetrics) Sent(service, fate string) {
 	g.sends.Add(context.Background(), 1, attrs("service", service, "fate", fate))
 }
--- a/src/telemetry/instruments.go
+++ b/src/telemetry/instruments.go
@@ -13,6 +13,7 @@
 )
 
 // durationBuckets are the histogram bucket bounds of all durations, in seconds.
+// They include the default latency targets of crankctl load, .031 and .81.
 var durationBuckets = []float64{.0005, .001, .002, .005, .01, .02, .031, .05, .1, .2, .4, .81, 1.5, 3, 6, 12, 30}
 
 // instruments creates the metric instruments of one process under a common name
--- a/src/telemetry/metrics.go
+++ b/src/telemetry/metrics.go
@@ -1,5 +1,5 @@
-// Package telemetry provides the metrics, decision journal, log writer and
-// traffic counters of a process.
+// Package telemetry provides the metrics, decision journal, log writer, traffic
+// counters and dependency tracking of a process.
 package telemetry
 
 import (
@@ -60,7 +60,8 @@
 	m.firstToken.Record(context.Background(), d.Seconds())
 }
 
-// AddedLatency records the time a request spent here before it was forwarded.
+// AddedLatency records the time a request spent in this process before it was
+// forwarded.
 func (m *Metrics) AddedLatency(d time.Duration) {
 	m.addedLatency.Record(context.Background(), d.Seconds())
 }
