--- a/src/serve/call.go
+++ b/src/serve/call.go
@@ -97,7 +97,7 @@
 		return sendResult{err: err, connected: true}
 	}
 	if resp.Header.Get(headerNotStarted) != "" {
-		return sendResult{notStarted: true, connected: true, err: fmt.Errorf("service refused the call with status %d", resp.StatusCode)}
+		return sendResult{notStarted: true, connected: true, err: fmt.Errorf("service refused: %d", resp.StatusCode)}
 	}
 	return sendResult{connected: true, answer: s.toAnswer(resp, body)}
 }
