--- a/test/once_test.go
+++ b/test/at_most_once_test.go
@@ -17,16 +17,16 @@
 
 // book asks for a booking at the nodes in turn until it has a final answer, as
 // a careful caller does: always by the same key.
-func book(b *bench, key string, order ...int) (last reply) {
+func bookUntilFinal(b *testbed, key string, order ...int) (last response) {
 	const tries = 12
 	for try := range tries {
-		a := booking(key).with("Crankridge-Deadline-Ms", "4000")
-		a.limit = 2 * time.Second
+		a := bookingRequest(key).withHeader("Crankridge-Deadline-Ms", "4000")
+		a.timeout = 2 * time.Second
 		if try == 0 {
-			a = a.with("Crankridge-Attempt", "1")
+			a = a.withHeader("Crankridge-Attempt", "1")
 		}
 		last = b.nodes[order[try%len(order)]].send(a)
-		if last.err == nil && (last.retry == "" || last.status == http.StatusOK) {
+		if last.err == nil && (last.retryAfter == "" || last.status == http.StatusOK) {
 			return last
 		}
 		<-time.After(100 * time.Millisecond) // a caller's pause
@@ -35,9 +35,9 @@
 }
 
 // checkOnce compares what callers were told with what the service ran.
-func checkOnce(t *testing.T, b *bench, results map[string]reply) (completed, unsure, notRun int) {
+func checkOutcomes(t *testing.T, b *testbed, results map[string]response) (completed, unsure, notRun int) {
 	t.Helper()
-	runs := b.runs()
+	runs := b.runCounts()
 	for key, r := range results {
 		n := runs[key]
 		switch {
@@ -62,22 +62,22 @@
 
 // bookMany sends bookings from many callers, each first to node 0, while
 // disturb happens.
-func bookMany(b *bench, n int, disturb func()) map[string]reply {
-	results := map[string]reply{}
+func bookConcurrently(b *testbed, n int, disturb func()) map[string]response {
+	results := map[string]response{}
 	var mu sync.Mutex
 	done := make(chan struct{})
 	go func() {
-		gather(n, func(i int) {
+		runConcurrently(n, func(i int) {
 			key := fmt.Sprintf("booking-%d", i)
 			<-time.After(time.Duration(i) * time.Millisecond) // callers arrive one after the other
-			r := book(b, key, 0, 1, 2)
+			r := bookUntilFinal(b, key, 0, 1, 2)
 			mu.Lock()
 			results[key] = r
 			mu.Unlock()
 		})
 		close(done)
 	}()
-	b.eventually("a third have run and others are on their way", func() bool { return len(b.runs()) >= n/3 })
+	b.eventually("a third have run and others are on their way", func() bool { return len(b.runCounts()) >= n/3 })
 	disturb()
 	<-done
 	return results
@@ -87,38 +87,44 @@
 	slow := standin.ServiceFaults{DelayMS: 30}
 	for _, c := range []struct {
 		name    string
-		disturb func(b *bench)
-		after   func(b *bench)
+		disturb func(b *testbed)
+		after   func(b *testbed)
 		unsure  int // callers of n who may be left not knowing
 	}{
-		{"nothing happens", func(*bench) {}, nil, 0},
-		{"coordinator frozen, thawed later", func(b *bench) { b.nodes[0].signal(syscall.SIGSTOP) }, func(b *bench) { b.nodes[0].signal(syscall.SIGCONT) }, 300},
-		{"coordinator killed", func(b *bench) { b.nodes[0].kill() }, nil, 300},
-		{"keeper frozen, thawed later", func(b *bench) { b.nodes[3].signal(syscall.SIGSTOP) }, func(b *bench) { b.nodes[3].signal(syscall.SIGCONT) }, 0},
-		{"keeper killed", func(b *bench) { b.nodes[3].kill() }, nil, 0},
-		{"coordinator cut from its peers", func(b *bench) { b.nodes[0].peerLink.cut() }, func(b *bench) { b.nodes[0].peerLink.join(b.t) }, 300},
-		{"service resets before it runs", func(b *bench) { b.admin(b.services[0], "faults", standin.ServiceFaults{ResetBefore: 20, DelayMS: 30}) }, nil, 20},
-		{"service resets while the body arrives", func(b *bench) { b.admin(b.services[0], "faults", standin.ServiceFaults{ResetDuring: 20, DelayMS: 30}) }, nil, 20},
-		{"service resets after it ran", func(b *bench) { b.admin(b.services[0], "faults", standin.ServiceFaults{ResetAfter: 20, DelayMS: 30}) }, nil, 20},
-		{"service refuses for a while", func(b *bench) { b.admin(b.services[0], "faults", standin.ServiceFaults{Refuse: 20, DelayMS: 30}) }, nil, 0},
-		{"service server lost", func(b *bench) { b.svcLinks[0].cut() }, nil, 300},
-		{"planned stop, killed in its midst", func(b *bench) { b.nodes[0].signal(syscall.SIGTERM); b.nodes[0].kill() }, nil, 300},
+		{"nothing happens", func(*testbed) {}, nil, 0},
+		{"coordinator frozen, thawed later", func(b *testbed) { b.nodes[0].signal(syscall.SIGSTOP) }, func(b *testbed) { b.nodes[0].signal(syscall.SIGCONT) }, 300},
+		{"coordinator killed", func(b *testbed) { b.nodes[0].kill() }, nil, 300},
+		{"keeper frozen, thawed later", func(b *testbed) { b.nodes[3].signal(syscall.SIGSTOP) }, func(b *testbed) { b.nodes[3].signal(syscall.SIGCONT) }, 0},
+		{"keeper killed", func(b *testbed) { b.nodes[3].kill() }, nil, 0},
+		{"coordinator cut from its peers", func(b *testbed) { b.nodes[0].peerLink.disconnect() }, func(b *testbed) { b.nodes[0].peerLink.reconnect(b.t) }, 300},
+		{"service resets before it runs", func(b *testbed) {
+			b.postAdmin(b.services[0], "faults", standin.ServiceFaults{ResetBefore: 20, DelayMS: 30})
+		}, nil, 20},
+		{"service resets while the body arrives", func(b *testbed) {
+			b.postAdmin(b.services[0], "faults", standin.ServiceFaults{ResetDuring: 20, DelayMS: 30})
+		}, nil, 20},
+		{"service resets after it ran", func(b *testbed) {
+			b.postAdmin(b.services[0], "faults", standin.ServiceFaults{ResetAfter: 20, DelayMS: 30})
+		}, nil, 20},
+		{"service refuses for a while", func(b *testbed) { b.postAdmin(b.services[0], "faults", standin.ServiceFaults{Refuse: 20, DelayMS: 30}) }, nil, 0},
+		{"service server lost", func(b *testbed) { b.svcLinks[0].disconnect() }, nil, 300},
+		{"planned stop, killed in its midst", func(b *testbed) { b.nodes[0].signal(syscall.SIGTERM); b.nodes[0].kill() }, nil, 300},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
+			b := newTestbed(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
 			for _, s := range b.services {
-				b.admin(s, "faults", slow)
+				b.postAdmin(s, "faults", slow)
 			}
 			const n = 300
-			results := bookMany(b, n, func() { c.disturb(b) })
+			results := bookConcurrently(b, n, func() { c.disturb(b) })
 			if c.after != nil {
 				c.after(b)
 				// What the thawed node still does, it does before it answers this.
 				b.eventually("the node answers again", func() bool { return b.state(b.nodes[0]).Node.Name != "" && b.state(b.nodes[3]).Node.Name != "" })
 				b.eventually("its requests have ended", func() bool { return b.state(b.nodes[0]).OpenRequests == 0 })
 			}
-			completed, unsure, notRun := checkOnce(t, b, results)
+			completed, unsure, notRun := checkOutcomes(t, b, results)
 			t.Logf("%d callers: %d completed, %d may have run, %d not run", n, completed, unsure, notRun)
 			is.Equal(completed+unsure+notRun, n) // every caller has an outcome
 			is.True(unsure <= c.unsure)
@@ -131,49 +137,49 @@
 // reset after the bytes went out.
 func TestNoSilentReplay(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1})
-	is.Equal(b.nodes[0].send(booking("warm")).status, 200) // a connection that could be reused
-	b.admin(b.services[0], "faults", standin.ServiceFaults{ResetAfter: 1})
-	r := b.nodes[0].send(booking("reset"))
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1})
+	is.Equal(b.nodes[0].send(bookingRequest("warm")).status, 200) // a connection that could be reused
+	b.postAdmin(b.services[0], "faults", standin.ServiceFaults{ResetAfter: 1})
+	r := b.nodes[0].send(bookingRequest("reset"))
 	is.Equal(r.outcome, "may-have-run")
-	is.Equal(b.runs()["reset"], 1)
-	again := b.nodes[1].send(booking("reset"))
+	is.Equal(b.runCounts()["reset"], 1)
+	again := b.nodes[1].send(bookingRequest("reset"))
 	is.Equal(again.outcome, "may-have-run") // the same fate at any node
-	is.Equal(b.runs()["reset"], 1)
+	is.Equal(b.runCounts()["reset"], 1)
 }
 
 // A caller told "may have run" while the coordinator is frozen learns the
 // answer by the same key, at the same node, once the coordinator is back.
-func TestFateIsLearntLater(t *testing.T) {
+func TestOutcomeAvailableAfterCoordinatorResumes(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 5, domains: 5, engines: 1, services: 1, modelServers: 1})
-	b.admin(b.services[0], "faults", standin.ServiceFaults{DelayMS: 400})
-	first := booking("fate")
-	first.limit = time.Second
+	b := newTestbed(t, options{nodes: 5, domains: 5, engines: 1, services: 1, modelServers: 1})
+	b.postAdmin(b.services[0], "faults", standin.ServiceFaults{DelayMS: 400})
+	first := bookingRequest("fate")
+	first.timeout = time.Second
 	done := make(chan struct{})
 	go func() { b.nodes[0].send(first); close(done) }()
-	b.eventually("the service runs it", func() bool { return b.runs()["fate"] == 1 })
+	b.eventually("the service runs it", func() bool { return b.runCounts()["fate"] == 1 })
 	b.nodes[0].signal(syscall.SIGSTOP)
 	<-done
-	r := b.nodes[1].send(booking("fate"))
+	r := b.nodes[1].send(bookingRequest("fate"))
 	is.Equal(r.outcome, "may-have-run")
-	is.True(r.retry != "")
+	is.True(r.retryAfter != "")
 	b.nodes[0].signal(syscall.SIGCONT)
-	b.eventually("the same node gives the answer", func() bool { return b.nodes[1].send(booking("fate")).outcome == "completed" })
-	is.Equal(b.runs()["fate"], 1)
+	b.eventually("the same node gives the answer", func() bool { return b.nodes[1].send(bookingRequest("fate")).outcome == "completed" })
+	is.Equal(b.runCounts()["fate"], 1)
 }
 
 // An engine that refuses before it starts has not run the request: it goes to
 // another engine although it must not run twice.
-func TestRefusedByAnEngineIsNotRun(t *testing.T) {
+func TestRequestRefusedByEngineIsRetried(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1})
 	raw := `{"epoch": 1000000, "op": "unload", "name": "climb"}`
 	resp, err := http.Post("http://"+b.engines[0].addr+"/v1/orders", "application/json", strings.NewReader(raw))
 	is.NoErr(err)
 	_ = resp.Body.Close()
-	gather(30, func(i int) {
-		r := b.nodes[i%3].send(chat(narrative(i), 5, false).with("Crankridge-Repeatable", "false").with("Idempotency-Key", fmt.Sprintf("once-%d", i)))
+	runConcurrently(30, func(i int) {
+		r := b.nodes[i%3].send(chatRequest(longPrompt(i), 5, false).withHeader("Crankridge-Repeatable", "false").withHeader("Idempotency-Key", fmt.Sprintf("once-%d", i)))
 		if r.outcome != "completed" {
 			t.Errorf("%d: %d %s %s", i, r.status, r.outcome, r.body)
 		}
@@ -182,66 +188,66 @@
 
 func TestAttach(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	for _, s := range b.services {
-		b.admin(s, "faults", standin.ServiceFaults{DelayMS: 300})
+		b.postAdmin(s, "faults", standin.ServiceFaults{DelayMS: 300})
 	}
-	replies := make([]reply, 9)
-	gather(9, func(i int) { replies[i] = b.nodes[i%3].send(booking("same")) })
+	replies := make([]response, 9)
+	runConcurrently(9, func(i int) { replies[i] = b.nodes[i%3].send(bookingRequest("same")) })
 	for _, r := range replies {
 		is.Equal(r.status, 200)
 		is.Equal(r.body, replies[0].body)
 	}
-	is.Equal(b.runs()["same"], 1)
+	is.Equal(b.runCounts()["same"], 1)
 
-	stream := chat("Notes for all.", 60, true).with("Idempotency-Key", "notes")
-	gather(9, func(i int) { replies[i] = b.nodes[i%3].send(stream) })
+	stream := chatRequest("Notes for all.", 60, true).withHeader("Idempotency-Key", "notes")
+	runConcurrently(9, func(i int) { replies[i] = b.nodes[i%3].send(stream) })
 	streams := int64(0)
 	for _, r := range replies {
-		is.True(r.whole)
+		is.True(r.complete)
 		is.Equal(r.tokens, replies[0].tokens)
 	}
 	for _, e := range b.engines {
 		var totals standin.EngineTotals
-		get("http://"+e.addr+"/admin/totals", "", &totals)
+		getJSON("http://"+e.addr+"/admin/totals", "", &totals)
 		streams += totals.Streams
 	}
 	is.Equal(streams, int64(1)) // computed once for nine callers
 
-	other := booking("same")
+	other := bookingRequest("same")
 	other.bearer = rideKey
 	is.Equal(b.nodes[0].send(other).status, 200) // another customer's key is another request
-	is.Equal(b.runs()["same"], 2)
+	is.Equal(b.runCounts()["same"], 2)
 
 	var fate struct{ State, Outcome string }
-	get("http://"+b.nodes[2].callers+"/v1/requests/same", clinicKey, &fate)
+	getJSON("http://"+b.nodes[2].callers+"/v1/requests/same", clinicKey, &fate)
 	is.Equal(fate.State, "ended")
 	is.Equal(fate.Outcome, "completed")
-	get("http://"+b.nodes[2].callers+"/v1/requests/notes", clinicKey, &fate)
+	getJSON("http://"+b.nodes[2].callers+"/v1/requests/notes", clinicKey, &fate)
 	is.Equal(fate.State, "unknown") // a customer cannot see another's request
 }
 
 func TestKeyValueServiceDown(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 5, domains: 5, engines: 5, services: 2, modelServers: 1, ttl: "100ms"})
+	b := newTestbed(t, options{nodes: 5, domains: 5, engines: 5, services: 2, modelServers: 1, ttl: "100ms"})
 	b.kvFaults(standin.KVFaults{Down: true})
 	serve := func(live []int, tag string) (completed, notRun, worst int) {
-		results := make([]reply, 60)
-		gather(60, func(i int) {
+		results := make([]response, 60)
+		runConcurrently(60, func(i int) {
 			n := b.nodes[live[i%len(live)]]
 			if i%2 == 0 {
-				results[i] = n.send(chat(fmt.Sprintf("%s %d", tag, i), 5, false))
+				results[i] = n.send(chatRequest(fmt.Sprintf("%s %d", tag, i), 5, false))
 			} else {
-				results[i] = n.send(booking(fmt.Sprintf("%s-%d", tag, i)).with("Crankridge-Attempt", "1"))
+				results[i] = n.send(bookingRequest(fmt.Sprintf("%s-%d", tag, i)).withHeader("Crankridge-Attempt", "1"))
 			}
 		})
 		for i, r := range results {
 			switch {
 			case r.outcome == "completed":
 				completed++
-			case i%2 == 1 && r.outcome == "not-run" && r.retry != "":
+			case i%2 == 1 && r.outcome == "not-run" && r.retryAfter != "":
 				notRun++
-				worst = max(worst, int(r.took.Milliseconds()))
+				worst = max(worst, int(r.duration.Milliseconds()))
 			default:
 				t.Errorf("%s %d: %+v", tag, i, r)
 			}
@@ -258,20 +264,20 @@
 	t.Logf("two keepers lost, service down: %d completed, %d refused at once, slowest refusal %d ms", completed, notRun, worst)
 	is.True(notRun > 0 && notRun < 30) // only the shards that lost two keepers refuse
 	is.True(worst < 2000)
-	runs := b.runs()
+	runs := b.runCounts()
 	is.True(!slices.ContainsFunc(mapValues(runs), func(n int) bool { return n > 1 }))
 	for key := range runs {
 		is.True(!strings.HasPrefix(key, "ck-"))
 	}
 
 	b.kvFaults(standin.KVFaults{})
-	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(3), NoticeMS: 0})
-	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(4), NoticeMS: 0})
+	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(3), NoticeMS: 0})
+	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: nodeName(4), NoticeMS: 0})
 	b.eventually("the shards are whole again", func() bool {
 		s := b.state(b.nodes[0])
 		return s.PassiveShards == 0 && len(s.Shards) == s.MapShards
 	})
-	is.Equal(b.nodes[0].send(booking("healed").with("Crankridge-Attempt", "1")).status, 200)
+	is.Equal(b.nodes[0].send(bookingRequest("healed").withHeader("Crankridge-Attempt", "1")).status, 200)
 }
 
 func mapValues(m map[string]int) []int {
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -24,7 +24,7 @@
 	loopback int64            // bytes that crossed the loopback, packet headers included
 }
 
-func (b *bench) usage() usage {
+func (b *testbed) usage() usage {
 	u := usage{channels: map[string]int64{}, calls: map[string]int64{}}
 	for _, n := range b.nodes {
 		for channel, v := range b.state(n).Traffic {
@@ -35,7 +35,7 @@
 		u.cpu += cpuSeconds(n.cmd.Process.Pid)
 	}
 	u.control = cpuSeconds(b.ctlProcs[0].cmd.Process.Pid)
-	_ = get("http://"+b.kv+"/admin/calls", "", &u.calls)
+	_ = getJSON("http://"+b.kv+"/admin/calls", "", &u.calls)
 	u.loopback = loopbackBytes()
 	u.at = time.Now()
 	return u
@@ -54,7 +54,7 @@
 }
 
 // perNode prints what one node used a second between two readings.
-func (b *bench) perNode(t *testing.T, what string, from, to usage) {
+func (b *testbed) logNodeUsage(t *testing.T, what string, from, to usage) {
 	n, s := float64(len(b.nodes)), to.at.Sub(from.at).Seconds()
 	rate := func(channel string) float64 { return float64(to.channels[channel]-from.channels[channel]) / n / s }
 	total := rate("kv") + rate("peers_in") + rate("peers_out") + rate("engines")
@@ -86,24 +86,24 @@
 	t.Log("| nodes | state | bytes/s a node | kv | peers in | peers out | engines | processor | memory median MB | most MB | calls/s of the key-value service, all nodes |")
 	for _, size := range strings.Split(sizes, ",") {
 		n, _ := strconv.Atoi(size)
-		b := newBench(t, options{nodes: n, domains: 4, engines: 24, services: 4, modelServers: 1, direct: true, exchange: "interval: 1s, lease: 60s"})
+		b := newTestbed(t, options{nodes: n, domains: 4, engines: 24, services: 4, modelServers: 1, direct: true, exchange: "interval: 1s, lease: 60s"})
 		for run := range 3 {
 			from := b.usage()
 			<-time.After(idle)
 			to := b.usage()
-			b.perNode(t, fmt.Sprintf("idle, run %d", run+1), from, to)
+			b.logNodeUsage(t, fmt.Sprintf("idle, run %d", run+1), from, to)
 			var took []time.Duration
 			from = b.usage()
 			for i := range changes {
 				began := time.Now()
 				version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "changing", Model: &catalog.Model{Bytes: int64(run*changes + i + 1), Version: "1"}})
-				b.eventually("in force", func() bool { return b.inForce(version).Have == n })
+				b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == n })
 				took = append(took, time.Since(began))
 				<-time.After(time.Until(began.Add(300 * time.Millisecond)))
 			}
 			to = b.usage()
-			b.perNode(t, fmt.Sprintf("3 changes/s, run %d", run+1), from, to)
-			t.Logf("  change in force on all %d nodes: p50 %.0f ms, max %.0f ms", n, quantile(took, .5), quantile(took, 1))
+			b.logNodeUsage(t, fmt.Sprintf("3 changes/s, run %d", run+1), from, to)
+			t.Logf("  change in force on all %d nodes: p50 %.0f ms, max %.0f ms", n, quantileMS(took, .5), quantileMS(took, 1))
 		}
 		for _, node := range b.nodes {
 			node.kill()
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -23,23 +23,23 @@
 
 // monitor follows the versions in force on every node and complains when one
 // goes back.
-type monitor struct {
-	mu   sync.Mutex
-	seen map[string]map[string]int64 // by node, then key
-	back []string
-	stop chan struct{}
-	done sync.WaitGroup
+type versionMonitor struct {
+	mu          sync.Mutex
+	seen        map[string]map[string]int64 // by node, then key
+	regressions []string
+	stop        chan struct{}
+	done        sync.WaitGroup
 }
 
-func (b *bench) monitor(nodes []*node) *monitor {
-	m := &monitor{seen: map[string]map[string]int64{}, stop: make(chan struct{})}
+func (b *testbed) monitorVersions(nodes []*node) *versionMonitor {
+	m := &versionMonitor{seen: map[string]map[string]int64{}, stop: make(chan struct{})}
 	for _, n := range nodes {
 		m.seen[n.name] = map[string]int64{}
 		m.done.Go(func() {
 			tick := time.NewTicker(20 * time.Millisecond)
 			defer tick.Stop()
 			for {
-				m.look(n.name, b.state(n).Versions)
+				m.record(n.name, b.state(n).Versions)
 				select {
 				case <-m.stop:
 					return
@@ -51,21 +51,21 @@
 	return m
 }
 
-func (m *monitor) look(name string, versions map[string]int64) {
+func (m *versionMonitor) record(name string, versions map[string]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for key, v := range versions {
 		if v < m.seen[name][key] {
-			m.back = append(m.back, fmt.Sprintf("%s %s %d after %d", name, key, v, m.seen[name][key]))
+			m.regressions = append(m.regressions, fmt.Sprintf("%s %s %d after %d", name, key, v, m.seen[name][key]))
 		}
 		m.seen[name][key] = v
 	}
 }
 
-func (m *monitor) end() []string {
+func (m *versionMonitor) finish() []string {
 	close(m.stop)
 	m.done.Wait()
-	return m.back
+	return m.regressions
 }
 
 // Four operators change the same resources while the key-value service goes
@@ -73,8 +73,8 @@
 // force on all nodes; none is lost, none reverted, none made twice.
 func TestRacingOperatorsDuringOutages(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 9, domains: 4, engines: 1, services: 1, modelServers: 0, controls: 2})
-	m := b.monitor(b.nodes)
+	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 1, services: 1, modelServers: 0, controls: 2})
+	m := b.monitorVersions(b.nodes)
 	const writers, each = 4, 50
 	type accepted struct {
 		version int64
@@ -99,20 +99,20 @@
 			}
 		}
 	}()
-	gather(writers, func(w int) {
+	runConcurrently(writers, func(w int) {
 		rng := rand.New(rand.NewPCG(uint64(w), 1))
 		for i := range each {
 			name := fmt.Sprintf("m%d", rng.IntN(5))
 			bytes := int64(w*1000 + i + 1)
 			r := catalog.Resource{Kind: catalog.KindModel, Name: name, Model: &catalog.Model{Bytes: bytes, Version: "1"}}
 			change := fmt.Sprintf("w%d-%d", w, i)
-			stored := b.changeUntilAccepted(w%2, r, change)
+			stored := b.putUntilAccepted(w%2, r, change)
 			mu.Lock()
 			all = append(all, accepted{stored.Version, stored.Model.Bytes, name})
 			mu.Unlock()
 			if i%10 == 0 {
 				began := time.Now()
-				b.eventually("in force everywhere", func() bool { f := b.inForce(stored.Version); return f.Nodes == 9 && f.Have == 9 })
+				b.eventually("in force everywhere", func() bool { f := b.rolloutStatus(stored.Version); return f.Nodes == 9 && f.Have == 9 })
 				mu.Lock()
 				inForceIn = append(inForceIn, time.Since(began))
 				mu.Unlock()
@@ -137,7 +137,7 @@
 		}
 		return true
 	})
-	is.Equal(m.end(), nil) // no node ever went back
+	is.Equal(m.finish(), nil) // no node ever went back
 	slices.Sort(inForceIn)
 	t.Logf("%d changes accepted; in force on 9 nodes during faults after p50 %d ms, max %d ms", len(all),
 		inForceIn[len(inForceIn)/2].Milliseconds(), inForceIn[len(inForceIn)-1].Milliseconds())
@@ -145,18 +145,18 @@
 
 // changeUntilAccepted is a careful operator: it reads, changes, and on a lost
 // answer sends the same change again.
-func (b *bench) changeUntilAccepted(at int, r catalog.Resource, change string) catalog.Resource {
+func (b *testbed) putUntilAccepted(at int, r catalog.Resource, change string) catalog.Resource {
 	var stored catalog.Resource
 	version := int64(-1)
 	b.eventually("change "+change, func() bool {
 		if version < 0 {
 			var have catalog.Resource
-			if s := get(b.resourceURL(at, r), token, &have); s != http.StatusOK && s != http.StatusNotFound {
+			if s := getJSON(b.resourceURL(at, r), token, &have); s != http.StatusOK && s != http.StatusNotFound {
 				return false
 			}
 			version = have.Version
 		}
-		status, got := b.put(at, r, version, change)
+		status, got := b.putResource(at, r, version, change)
 		if status == http.StatusPreconditionFailed {
 			version = -1 // somebody else was first: read again
 		}
@@ -167,32 +167,32 @@
 }
 
 // A second operator's change is refused, and says what stands there now.
-func TestOperatorsDoNotOverwriteUnseen(t *testing.T) {
+func TestConcurrentOperatorChangeIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, controls: 2})
+	b := newTestbed(t, options{nodes: 3, domains: 3, controls: 2})
 	model := func(bytes int64) catalog.Resource {
 		return catalog.Resource{Kind: catalog.KindModel, Name: "m", Model: &catalog.Model{Bytes: bytes, Version: "1"}}
 	}
-	_, first := b.put(0, model(1), 0, "one")
-	status, again := b.put(1, model(1), 0, "one") // the same change, its answer lost, at another process
+	_, first := b.putResource(0, model(1), 0, "one")
+	status, again := b.putResource(1, model(1), 0, "one") // the same change, its answer lost, at another process
 	is.Equal(status, http.StatusOK)
 	is.Equal(again.Version, first.Version)
-	status, _ = b.put(0, model(2), first.Version, "two")
+	status, _ = b.putResource(0, model(2), first.Version, "two")
 	is.Equal(status, http.StatusOK)
-	status, _ = b.put(1, model(3), first.Version, "three")
+	status, _ = b.putResource(1, model(3), first.Version, "three")
 	is.Equal(status, http.StatusPreconditionFailed)
 
 	b.kvFaults(standin.KVFaults{DropResponses: 1})
 	var have catalog.Resource
-	get(b.resourceURL(0, model(0)), token, &have)
-	status, stored := b.put(0, model(4), have.Version, "four") // its answer is lost between the store and the API
+	getJSON(b.resourceURL(0, model(0)), token, &have)
+	status, stored := b.putResource(0, model(4), have.Version, "four") // its answer is lost between the store and the API
 	is.Equal(status, http.StatusOK)
 	is.Equal(stored.Model.Bytes, int64(4))
 	is.Equal(stored.Version, have.Version+1) // made once
 
 	b.kvFaults(standin.KVFaults{Down: true})
 	began := time.Now()
-	status, _ = b.put(0, model(5), stored.Version, "five")
+	status, _ = b.putResource(0, model(5), stored.Version, "five")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.True(time.Since(began) < 2*time.Second) // refused at once
 }
@@ -202,11 +202,11 @@
 func TestNodeCutOffFromKeyValueService(t *testing.T) {
 	is := is.New(t)
 	o := options{nodes: 4, domains: 2, engines: 2, services: 1, modelServers: 0}
-	b := newBench(t, o)
-	b.nodes[3].kvLink.cut()
+	b := newTestbed(t, o)
+	b.nodes[3].kvLink.disconnect()
 	began := time.Now()
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "late", Model: &catalog.Model{Bytes: 1, Version: "1"}})
-	b.eventually("in force on the cut-off node too", func() bool { return b.inForce(version).Have == 4 })
+	b.eventually("in force on the cut-off node too", func() bool { return b.rolloutStatus(version).Have == 4 })
 	t.Logf("in force on a node cut off from the key-value service after %d ms", time.Since(began).Milliseconds())
 	is.True(time.Since(began) < 5*time.Second)
 	s := b.state(b.nodes[3])
@@ -223,11 +223,11 @@
 	b.kvFaults(standin.KVFaults{Down: true})
 	late := b.addNode(o, 4)
 	b.eventually("a node started during the outage is ready", func() bool {
-		return get("http://"+late.callers+"/readyz", "", nil) == http.StatusOK
+		return getJSON("http://"+late.callers+"/readyz", "", nil) == http.StatusOK
 	})
 	is.Equal(b.state(late).RevisionSource, "peer")
-	is.Equal(late.send(chat("hello", 3, false)).status, http.StatusOK)
-	is.Equal(late.send(booking("late")).status, http.StatusOK)
+	is.Equal(late.send(chatRequest("hello", 3, false)).status, http.StatusOK)
+	is.Equal(late.send(bookingRequest("late")).status, http.StatusOK)
 	for _, n := range b.nodes[:4] {
 		is.Equal(len(b.state(n).Nodes), 4) // the outage removed nobody
 	}
@@ -235,8 +235,8 @@
 
 func TestWatchHasNoGap(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, controls: 2})
-	resp, err := http.DefaultClient.Do(b.watchRequest(1, b.inForceRevision()))
+	b := newTestbed(t, options{nodes: 3, domains: 3, controls: 2})
+	resp, err := http.DefaultClient.Do(b.watchRequest(1, b.completeRevision()))
 	is.NoErr(err)
 	defer func() { _ = resp.Body.Close() }()
 	var want, got []int64
@@ -254,26 +254,26 @@
 	is.Equal(got, want)
 	b.ctlProcs[1].kill()
 	b.ctlProcs[1].launch("crank-control")
-	b.eventually("the process is back", func() bool { return b.inForceRevision() > 0 })
+	b.eventually("the process is back", func() bool { return b.completeRevision() > 0 })
 	old, err := http.DefaultClient.Do(b.watchRequest(1, 0))
 	is.NoErr(err)
 	is.Equal(old.StatusCode, http.StatusGone) // older than what the new process has seen
 	_ = old.Body.Close()
 }
 
-func (b *bench) inForceRevision() int64 {
+func (b *testbed) completeRevision() int64 {
 	var s control.State
-	get("http://"+b.controls[1]+"/debug/state", token, &s)
+	getJSON("http://"+b.controls[1]+"/debug/state", token, &s)
 	return s.CompleteRevision
 }
 
-func (b *bench) watchRequest(control int, from int64) *http.Request {
+func (b *testbed) watchRequest(control int, from int64) *http.Request {
 	req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/watch?from=%d", b.controls[control], from), nil)
 	req.Header.Set("Authorization", "Bearer "+token)
 	return req
 }
 
-const offers = `
+const vmOffers = `
     - {class: gpu, failure_domain: fd-a, reclaimable: true, hour_price: 1, reclaim_per_day: 0.2, boot: 300ms}
     - {class: gpu, failure_domain: fd-b, reclaimable: true, hour_price: 1, reclaim_per_day: 0.2, boot: 300ms}
     - {class: gpu, failure_domain: fd-c, reclaimable: true, hour_price: 1, reclaim_per_day: 0.2, boot: 300ms}
@@ -282,22 +282,22 @@
     - {class: gpu, failure_domain: fd-c, reclaimable: false, hour_price: 3, boot: 300ms}
 `
 
-func (b *bench) controlState(i int) control.State {
+func (b *testbed) controlState(i int) control.State {
 	var s control.State
-	get("http://"+b.controls[i]+"/debug/state", token, &s)
+	getJSON("http://"+b.controls[i]+"/debug/state", token, &s)
 	return s
 }
 
-func (b *bench) cost() standin.CloudCost {
+func (b *testbed) cloudCost() standin.CloudCost {
 	var c standin.CloudCost
-	get("http://"+b.cloud+"/admin/cost", "", &c)
+	getJSON("http://"+b.cloud+"/admin/cost", "", &c)
 	return c
 }
 
-func (b *bench) eventStatus(name string) event.Status {
+func (b *testbed) eventStatus(name string) event.Status {
 	var list []event.Status
 	for _, addr := range b.controls {
-		if get("http://"+addr+"/v1/status/events", token, &list) == http.StatusOK {
+		if getJSON("http://"+addr+"/v1/status/events", token, &list) == http.StatusOK {
 			break
 		}
 	}
@@ -309,7 +309,7 @@
 	return event.Status{}
 }
 
-func surge(name string, start time.Time, servers int) catalog.Resource {
+func newEvent(name string, start time.Time, servers int) catalog.Resource {
 	return catalog.Resource{Kind: catalog.KindEvent, Name: name, Event: &catalog.Event{
 		Start: start, End: start.Add(time.Hour), Models: []catalog.EventModel{{Name: "climb", Servers: servers}},
 		Customers: []catalog.EventCustomer{{Name: "rides", FirstTokenMS: 810}}, Priority: 5, CostWeight: 0.8,
@@ -320,13 +320,13 @@
 // the first thaws, nothing it still tries takes effect, and no VM is bought twice.
 func TestPlannerFrozenPastItsLease(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: offers, control: ", lease: 2s, most_servers: 50"})
-	b.eventually("the planner has bought what is needed", func() bool { return b.cost().Running >= 3+3 })
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
+	b.eventually("the planner has bought what is needed", func() bool { return b.cloudCost().Running >= 3+3 })
 	holder := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
 	old := b.controlState(holder).Epoch
 	b.ctlProcs[holder].signal(syscall.SIGSTOP)
 	b.eventually("the other takes over", func() bool { s := b.controlState(1 - holder); return s.Leading && s.Epoch > old })
-	b.applyAt(1-holder, surge("rides", time.Now().Add(5*time.Second), 3))
+	b.createVia(1-holder, newEvent("rides", time.Now().Add(5*time.Second), 3))
 	b.ctlProcs[holder].signal(syscall.SIGCONT)
 	b.eventually("the event is ready or in force", func() bool {
 		p := b.eventStatus("rides").Phase
@@ -334,14 +334,14 @@
 	})
 	is.True(!b.controlState(holder).Leading)
 	// 5 servers must be left of climb: 3 domains with 3, 3 and 2 of them.
-	living := b.cost().Running - 3
+	living := b.cloudCost().Running - 3
 	is.Equal(living, 8)
-	is.Equal(b.cost().Bought, living) // none bought beyond, none given back
+	is.Equal(b.cloudCost().Bought, living) // none bought beyond, none given back
 }
 
-func (b *bench) applyAt(control int, r catalog.Resource) {
+func (b *testbed) createVia(control int, r catalog.Resource) {
 	b.eventually("apply "+r.Name, func() bool {
-		status, _ := b.put(control, r, 0, "")
+		status, _ := b.putResource(control, r, 0, "")
 		return status == http.StatusOK
 	})
 }
@@ -350,9 +350,9 @@
 // nothing behind: the next makes do with what was bought.
 func TestPlannerKilledAtEveryStep(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, controls: 2, offers: offers, control: ", lease: 2s, most_servers: 50"})
-	b.admin(b.cloud, "faults", standin.CloudFaults{DropResponses: 4, LagMS: 700})
-	b.applyAt(0, surge("rides", time.Now().Add(time.Second), 4))
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
+	b.postAdmin(b.cloud, "faults", standin.CloudFaults{DropResponses: 4, LagMS: 700})
+	b.createVia(0, newEvent("rides", time.Now().Add(time.Second), 4))
 	for i := range 6 {
 		at := i % 2
 		b.eventually("a planner leads", func() bool { return b.controlState(at).Leading || b.controlState(1-at).Leading })
@@ -365,39 +365,39 @@
 		b.ctlProcs[victim].launch("crank-control")
 	}
 	b.eventually("the event is in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-	b.admin(b.cloud, "faults", standin.CloudFaults{})
+	b.postAdmin(b.cloud, "faults", standin.CloudFaults{})
 	b.eventually("the cloud has what the plan holds, and no more", func() bool {
 		leader := b.controlState(0)
 		if !leader.Leading {
 			leader = b.controlState(1)
 		}
-		return leader.Leading && len(leader.Intents) == 6 && b.cost().Running == 3+6
+		return leader.Leading && len(leader.Intents) == 6 && b.cloudCost().Running == 3+6
 	})
-	is.Equal(b.cost().Running, 9)
+	is.Equal(b.cloudCost().Running, 9)
 }
 
 // A failure domain is taken back as the event starts and replacements are
 // refused for a while.
 func TestReclaimWaveAsEventStarts(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 0, services: 0, modelServers: 0, controls: 1, offers: offers, control: ", most_servers: 50"})
-	b.applyAt(0, surge("rides", time.Now().Add(6*time.Second), 4))
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, services: 0, modelServers: 0, controls: 1, offers: vmOffers, control: ", most_servers: 50"})
+	b.createVia(0, newEvent("rides", time.Now().Add(6*time.Second), 4))
 	b.eventually("ready before the start", func() bool { return b.eventStatus("rides").Phase == event.Ready })
 	b.eventually("in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-	b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
+	b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
 	began := time.Now()
-	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
+	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
 	b.eventually("degraded", func() bool { return b.eventStatus("rides").Phase == event.Degraded })
 	told := time.Since(began)
 	b.eventually("the reason names the refusal", func() bool {
 		return strings.Contains(strings.Join(b.eventStatus("rides").Reasons, " "), "refuses")
 	})
-	served := b.streams(30, 10, nil)
+	served := b.sendStreams(30, 10, nil)
 	for _, r := range served {
-		is.True(r.whole) // what is left serves the event's customers
+		is.True(r.complete) // what is left serves the event's customers
 	}
-	b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-b"}})
+	b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-b"}})
 	b.eventually("recovered by itself, in other domains", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", told.Milliseconds(), time.Since(began).Milliseconds(), b.cost())
+	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", told.Milliseconds(), time.Since(began).Milliseconds(), b.cloudCost())
 	is.True(told < 3*time.Second)
 }
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -14,7 +14,7 @@
 )
 
 // ctl runs crankctl and returns its output and exit code.
-func (b *bench) ctl(args ...string) (string, int) {
+func (b *testbed) ctl(args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(binaries, "crankctl"), append([]string{"--control", strings.Join(b.controls, ","), "--token", token}, args...)...)
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
@@ -26,7 +26,7 @@
 
 func TestCommandLine(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	file := func(text string) string {
 		path := filepath.Join(t.TempDir(), "r.yaml")
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
@@ -60,7 +60,7 @@
 	_, code = b.ctl("get", "model", "dry")
 	is.Equal(code, 1)
 
-	r := b.nodes[0].send(booking("explained"))
+	r := b.nodes[0].send(bookingRequest("explained"))
 	is.Equal(r.status, 200)
 	out, code = b.ctl("explain", "request", "clinics/explained")
 	is.Equal(code, 0)
--- a/test/path_test.go
+++ b/test/end_to_end_test.go
@@ -20,13 +20,13 @@
 	"github.com/crankridge/crankridge/src/catalog"
 )
 
-var small = options{nodes: 3, domains: 3, engines: 3, services: 2, modelServers: 1}
+var smallSystem = options{nodes: 3, domains: 3, engines: 3, services: 2, modelServers: 1}
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 
-	whole := b.nodes[0].send(chat("Describe the climb.", 30, false))
+	whole := b.nodes[0].send(chatRequest("Describe the climb.", 30, false))
 	is.Equal(whole.status, http.StatusOK)
 	is.Equal(whole.outcome, "completed")
 	var answer struct {
@@ -38,32 +38,32 @@
 	is.NoErr(json.Unmarshal([]byte(whole.body), &answer))
 	is.Equal(answer.Usage.Completion, 30)
 
-	streamed := b.nodes[1].send(chat("Describe the climb.", 30, true))
-	is.True(streamed.whole)
+	streamed := b.nodes[1].send(chatRequest("Describe the climb.", 30, true))
+	is.True(streamed.complete)
 	is.Equal(strings.Join(streamed.tokens, ""), answer.Choices[0].Message.Content) // both forms give the same text
-	for i, id := range streamed.ids {
+	for i, id := range streamed.eventIDs {
 		is.Equal(id, i+1) // event ids count tokens
 	}
 
-	booked := b.nodes[2].send(booking("b-1"))
+	booked := b.nodes[2].send(bookingRequest("b-1"))
 	is.Equal(booked.status, http.StatusOK)
-	is.Equal(b.runs()["b-1"], 1)
+	is.Equal(b.runCounts()["b-1"], 1)
 
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "summary", Model: &catalog.Model{Bytes: 1, Version: "1"}})
 	b.eventually("the change is in force on all nodes", func() bool {
-		f := b.inForce(version)
+		f := b.rolloutStatus(version)
 		return f.Nodes == 3 && f.Have == 3
 	})
 	for _, n := range b.nodes {
 		var list struct{ Data []struct{ ID string } }
-		is.Equal(get("http://"+n.callers+"/v1/models", rideKey, &list), http.StatusOK)
+		is.Equal(getJSON("http://"+n.callers+"/v1/models", rideKey, &list), http.StatusOK)
 		is.Equal(len(list.Data), 2)
 	}
 }
 
 func TestOpenAIClientLibrary(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	client := openai.NewClient(option.WithBaseURL("http://"+b.nodes[0].callers+"/v1/"), option.WithAPIKey(rideKey))
 	params := openai.ChatCompletionNewParams{
 		Model: "climb", MaxCompletionTokens: openai.Int(20),
@@ -94,26 +94,26 @@
 }
 
 func TestBadInput(t *testing.T) {
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, entry: "limits: {body_bytes: 2000}"})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, entry: "limits: {body_bytes: 2000}"})
 	n := b.nodes[0]
-	stranger := chat("x", 5, false)
+	stranger := chatRequest("x", 5, false)
 	stranger.bearer = "nobody"
 	for _, c := range []struct {
 		name string
-		ask  ask
+		ask  request
 		want int
 		code string
 	}{
 		{"unknown customer", stranger, 401, "invalid_api_key"},
-		{"unknown model", ask{path: "/v1/completions", bearer: rideKey, body: `{"model":"none","prompt":"x"}`}, 404, "model_not_found"},
-		{"malformed JSON", ask{path: "/v1/completions", bearer: rideKey, body: `{"model":`}, 400, "invalid_request"},
-		{"no prompt", ask{path: "/v1/completions", bearer: rideKey, body: `{"model":"climb"}`}, 400, "invalid_request"},
-		{"body over the limit", chat(strings.Repeat("x", 3000), 5, false), 413, "body_too_large"},
-		{"unknown service", ask{path: "/v1/services/none/x", bearer: rideKey}, 404, "service_not_found"},
-		{"bad key", booking("a b"), 400, "bad_key"},
-		{"bad deadline", booking("k").with("Crankridge-Deadline-Ms", "soon"), 400, "bad_header"},
-		{"bad repeatable", booking("k").with("Crankridge-Repeatable", "maybe"), 400, "bad_header"},
-		{"unknown path", ask{path: "/v2/x", bearer: rideKey}, 404, "not_found"},
+		{"unknown model", request{path: "/v1/completions", bearer: rideKey, body: `{"model":"none","prompt":"x"}`}, 404, "model_not_found"},
+		{"malformed JSON", request{path: "/v1/completions", bearer: rideKey, body: `{"model":`}, 400, "invalid_request"},
+		{"no prompt", request{path: "/v1/completions", bearer: rideKey, body: `{"model":"climb"}`}, 400, "invalid_request"},
+		{"body over the limit", chatRequest(strings.Repeat("x", 3000), 5, false), 413, "body_too_large"},
+		{"unknown service", request{path: "/v1/services/none/x", bearer: rideKey}, 404, "service_not_found"},
+		{"bad key", bookingRequest("a b"), 400, "bad_key"},
+		{"bad deadline", bookingRequest("k").withHeader("Crankridge-Deadline-Ms", "soon"), 400, "bad_header"},
+		{"bad repeatable", bookingRequest("k").withHeader("Crankridge-Repeatable", "maybe"), 400, "bad_header"},
+		{"unknown path", request{path: "/v2/x", bearer: rideKey}, 404, "not_found"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -125,22 +125,22 @@
 	}
 	t.Run("key used for another body", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(n.send(booking("twice")).status, 200)
-		other := booking("twice")
+		is.Equal(n.send(bookingRequest("twice")).status, 200)
+		other := bookingRequest("twice")
 		other.body = `{"chair":4}`
 		is.Equal(n.send(other).status, 422)
 		is.Equal(b.nodes[1].send(other).status, 422) // at another node as well
 	})
 	t.Run("nothing of it ran", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(len(b.runs()), 1)
+		is.Equal(len(b.runCounts()), 1)
 	})
 	t.Run("event that ends before it starts", func(t *testing.T) {
 		is := is.New(t)
 		ev := catalog.Resource{Kind: catalog.KindEvent, Name: "bad", Event: &catalog.Event{
 			Start: time.Now(), End: time.Now().Add(-time.Hour), Models: []catalog.EventModel{{Name: "climb", Servers: 1}},
 		}}
-		status, _ := b.put(0, ev, 0, "")
+		status, _ := b.putResource(0, ev, 0, "")
 		is.Equal(status, http.StatusUnprocessableEntity)
 	})
 	t.Run("change without If-Match", func(t *testing.T) {
@@ -176,30 +176,30 @@
 // A stream that an engine breaks off is taken up where it broke, unseen by the caller.
 func TestTruncatedEngineStream(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
-	want := b.nodes[0].send(chat("Where is the water?", 40, true))
+	b := newTestbed(t, smallSystem)
+	want := b.nodes[0].send(chatRequest("Where is the water?", 40, true))
 	for _, e := range b.engines {
-		b.admin(e.addr, "faults", map[string]int{"cut_after": 7})
+		b.postAdmin(e.addr, "faults", map[string]int{"cut_after": 7})
 	}
-	got := b.nodes[0].send(chat("Where is the water?", 40, true))
-	is.True(got.whole)
+	got := b.nodes[0].send(chatRequest("Where is the water?", 40, true))
+	is.True(got.complete)
 	is.Equal(got.tokens, want.tokens)
 	is.Equal(len(got.tokens), 40)
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	n := b.nodes[0]
 	const streams = 20
-	want := b.nodes[1].send(chat("Notes for rider 0.", 150, true))
+	want := b.nodes[1].send(chatRequest("Notes for rider 0.", 150, true))
 	begun := make(chan int, streams*200)
-	results := make([]reply, streams)
+	results := make([]response, streams)
 	done := make(chan struct{})
 	go func() {
-		gather(streams, func(i int) {
-			a := chat(fmt.Sprintf("Notes for rider %d.", i), 150, true)
-			a.tokens = begun
+		runConcurrently(streams, func(i int) {
+			a := chatRequest(fmt.Sprintf("Notes for rider %d.", i), 150, true)
+			a.tokenIDs = begun
 			results[i] = n.send(a)
 		})
 		close(done)
@@ -210,7 +210,7 @@
 	n.signal(syscall.SIGTERM)
 	b.eventually("endpoints drop the node", func() bool {
 		var e struct{ Endpoints []struct{ Address string } }
-		get("http://"+b.nodes[1].callers+"/v1/endpoints", rideKey, &e)
+		getJSON("http://"+b.nodes[1].callers+"/v1/endpoints", rideKey, &e)
 		for _, a := range e.Endpoints {
 			if a.Address == n.callers {
 				return false
@@ -220,34 +220,34 @@
 	})
 	<-done
 	for _, r := range results {
-		is.True(r.whole)
+		is.True(r.complete)
 		is.Equal(len(r.tokens), 150)
 	}
 	is.Equal(results[0].tokens, want.tokens)
-	is.True(n.waitStopped(stopWithin))
+	is.True(n.waitExit(stopTimeout))
 	b.eventually("its shards are kept by others", func() bool {
 		s := b.state(b.nodes[1])
 		return s.PassiveShards == 0 && len(s.Shards) == s.MapShards
 	})
-	is.Equal(b.nodes[1].send(booking("after")).status, 200)
+	is.Equal(b.nodes[1].send(bookingRequest("after")).status, 200)
 }
 
 // No secret shows in a log or a state dump.
-func TestSecretsStayInside(t *testing.T) {
+func TestSecretsAreNotExposed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
-	is.Equal(b.nodes[0].send(chat("hello", 3, false)).status, 200)
-	is.Equal(b.nodes[0].send(booking("k")).status, 200)
-	stranger := booking("k")
+	b := newTestbed(t, smallSystem)
+	is.Equal(b.nodes[0].send(chatRequest("hello", 3, false)).status, 200)
+	is.Equal(b.nodes[0].send(bookingRequest("k")).status, 200)
+	stranger := bookingRequest("k")
 	stranger.bearer = "wrong-secret-key"
 	is.Equal(b.nodes[0].send(stranger).status, 401)
 	texts := map[string]string{}
 	for _, n := range b.nodes {
 		var dump json.RawMessage
-		is.Equal(get("http://"+n.operators+"/debug/state", token, &dump), 200)
+		is.Equal(getJSON("http://"+n.operators+"/debug/state", token, &dump), 200)
 		texts["dump of "+n.name] = string(dump)
-		is.Equal(get("http://"+n.operators+"/debug/state", "wrong", nil), 401)
-		is.Equal(get("http://"+n.peers+"/twirp/crankridge.peer.Peer/Inventory", "wrong", nil), 401)
+		is.Equal(getJSON("http://"+n.operators+"/debug/state", "wrong", nil), 401)
+		is.Equal(getJSON("http://"+n.peers+"/twirp/crankridge.peer.Peer/Inventory", "wrong", nil), 401)
 	}
 	logs, _ := filepath.Glob(filepath.Join(b.dir, "*.log"))
 	for _, path := range logs {
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -16,7 +16,7 @@
 )
 
 // runsOf counts the runs of a request at a server.
-func runsOf(s *fake.Server, id string) int {
+func runCount(s *fake.Server, id string) int {
 	count := 0
 	for _, run := range s.Runs() {
 		if run.ID == id {
@@ -26,13 +26,13 @@
 	return count
 }
 
-func TestGatewayPassesARequestOnUnchanged(t *testing.T) {
+func TestGatewayPassesRequestUnchanged(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	s := b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
-	got := n.ask(gatewayAsk{method: http.MethodPost, path: "/once/a%2Fb?x=1&y=%20", id: "r1", body: "bytes", header: map[string]string{"Deadline-Ms": "700", "Tenant": "forged"}})
+	b := newGatewayTestbed(t)
+	s := b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
+	got := n.send(gatewayRequest{method: http.MethodPost, path: "/once/a%2Fb?x=1&y=%20", id: "r1", body: "bytes", header: map[string]string{"Deadline-Ms": "700", "Tenant": "forged"}})
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.body, "answer of i-1")
 	is.Equal(got.header.Get("Server-Stamp"), "i-1")
@@ -40,8 +40,8 @@
 	run := s.Runs()[len(s.Runs())-1]
 	is.Equal(run.Path, "/once/a%2Fb?x=1&y=%20")
 	is.Equal(run.Body, "bytes")
-	is.Equal(run.Customer, benchCustomer) // not what the client said
-	is.Equal(run.Key, "")                 // the key stays here
+	is.Equal(run.Customer, testCustomer) // not what the client said
+	is.Equal(run.Key, "")                // the key stays here
 	left := 0
 	_, err := fmt.Sscan(run.Deadline, &left)
 	is.NoErr(err)
@@ -50,148 +50,148 @@
 
 func TestGatewayRefusesBadInput(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	s := b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	s := b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	before := len(s.Runs())
-	status := func(a gatewayAsk) int { return n.ask(a).status }
-	is.Equal(status(gatewayAsk{method: "GET", path: "/none/", id: "a"}), http.StatusNotFound)
-	is.Equal(status(gatewayAsk{method: "GET", path: "/once/", id: "a", header: map[string]string{"Authorization": "Bearer wrong"}}), http.StatusUnauthorized)
-	is.Equal(status(gatewayAsk{method: "GET", path: "/once/", id: ""}), http.StatusBadRequest)
-	is.Equal(status(gatewayAsk{method: "POST", path: "/once/", id: "a", body: strings.Repeat("x", 10001)}), http.StatusRequestEntityTooLarge)
-	is.Equal(status(gatewayAsk{method: "GET", path: "/once/", id: "a", header: map[string]string{"Filler": strings.Repeat("x", 5000)}}), http.StatusRequestHeaderFieldsTooLarge)
+	status := func(a gatewayRequest) int { return n.send(a).status }
+	is.Equal(status(gatewayRequest{method: "GET", path: "/none/", id: "a"}), http.StatusNotFound)
+	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: "a", header: map[string]string{"Authorization": "Bearer wrong"}}), http.StatusUnauthorized)
+	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: ""}), http.StatusBadRequest)
+	is.Equal(status(gatewayRequest{method: "POST", path: "/once/", id: "a", body: strings.Repeat("x", 10001)}), http.StatusRequestEntityTooLarge)
+	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: "a", header: map[string]string{"Filler": strings.Repeat("x", 5000)}}), http.StatusRequestHeaderFieldsTooLarge)
 	is.Equal(len(s.Runs()), before) // nothing ran
 }
 
-func TestGatewayRunsNothingOfABodyCutHalfWay(t *testing.T) {
+func TestGatewayDoesNotRunTruncatedRequest(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	s := b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
-	conn, err := net.Dial("tcp", n.set.Listen.Callers)
+	b := newGatewayTestbed(t)
+	s := b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
+	conn, err := net.Dial("tcp", n.settings.Listen.Callers)
 	is.NoErr(err)
-	_, _ = fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: %s\r\nRequest-Id: cut\r\nAuthorization: Bearer %s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", benchHost, benchKey)
+	_, _ = fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: %s\r\nRequest-Id: cut\r\nAuthorization: Bearer %s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", testHost, testAPIKey)
 	is.NoErr(conn.(*net.TCPConn).CloseWrite())
 	raw, err := io.ReadAll(conn)
 	is.NoErr(err)
 	is.True(strings.HasPrefix(string(raw), "HTTP/1.1 400 "))
-	is.Equal(runsOf(s, "cut"), 0)
+	is.Equal(runCount(s, "cut"), 0)
 }
 
-func TestGatewayRetriesWhatHasNotRun(t *testing.T) {
+func TestGatewayRetriesUnexecutedRequests(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	first, second := b.server("i-1"), b.server("i-2")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	first, second := b.addServer("i-1"), b.addServer("i-2")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	for _, manner := range []fake.Behavior{fake.Full, fake.WrongServer} {
 		first.SetBehavior(manner)
 		for i := range 6 {
 			id := fmt.Sprintf("%s-%d", manner, i)
-			is.Equal(n.ask(gatewayAsk{method: "POST", path: "/once/x", id: id, body: "b"}).status, http.StatusOK)
-			is.Equal(runsOf(second, id), 1)
+			is.Equal(n.send(gatewayRequest{method: "POST", path: "/once/x", id: id, body: "b"}).status, http.StatusOK)
+			is.Equal(runCount(second, id), 1)
 		}
 	}
 	second.SetBehavior(fake.Full)
-	got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: "full", body: "b"})
+	got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: "full", body: "b"})
 	is.Equal(got.status, http.StatusServiceUnavailable) // nobody ran it, and it may come back
 	is.True(got.header.Get("Retry-After") != "")
 }
 
-func TestGatewayPassesServersByThatCannotBeReached(t *testing.T) {
-	b := newGatewayBench(t)
+func TestGatewayPassesOverUnreachableServers(t *testing.T) {
+	b := newGatewayTestbed(t)
 	b.retries = "Bounds.RetryBudgetRatio=0\nBounds.ExtraRetries=0\n"
 	for _, id := range []string{"i-dead-1", "i-dead-2"} {
-		b.server(id).Close()
+		b.addServer(id).Close()
 	}
-	b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	for i := range 30 {
 		// No byte reached a server before, so that this is no repeat.
-		got := n.ask(gatewayAsk{method: "POST", path: "/once/a", id: fmt.Sprintf("r%d", i), body: "x"})
+		got := n.send(gatewayRequest{method: "POST", path: "/once/a", id: fmt.Sprintf("r%d", i), body: "x"})
 		b.is.Equal(got.status, http.StatusOK)
 	}
 }
 
-func TestGatewaySendsOnceWhatMayHaveRun(t *testing.T) {
+func TestGatewayDoesNotRepeatUnsafeRequests(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	servers := []*fake.Server{b.server("i-1"), b.server("i-2")}
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.WrongRequestID} {
 		for _, s := range servers {
 			s.SetBehavior(manner)
 		}
 		id := "once-" + string(manner)
-		got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: id, body: "b"})
+		got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: id, body: "b"})
 		is.Equal(got.status, http.StatusBadGateway) // no promise that it has not run
 		is.Equal(got.header.Get("Server-Stamp"), "")
-		is.Equal(runsOf(servers[0], id)+runsOf(servers[1], id), 1)
+		is.Equal(runCount(servers[0], id)+runCount(servers[1], id), 1)
 	}
 }
 
-func TestGatewayRepeatsWhatMayRunAgain(t *testing.T) {
+func TestGatewayRepeatsSafeRequests(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	servers := []*fake.Server{b.server("i-1"), b.server("i-2")}
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.Failing, fake.WrongRequestID} {
 		servers[0].SetBehavior(manner)
 		for i := range 4 {
-			got := n.ask(gatewayAsk{method: "GET", path: "/repeat/x", id: fmt.Sprintf("%s-%d", manner, i)})
+			got := n.send(gatewayRequest{method: "GET", path: "/repeat/x", id: fmt.Sprintf("%s-%d", manner, i)})
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, "answer of i-2")
 		}
 	}
 	servers[1].SetBehavior(fake.Failing)
-	got := n.ask(gatewayAsk{method: "GET", path: "/repeat/x", id: "both"})
+	got := n.send(gatewayRequest{method: "GET", path: "/repeat/x", id: "both"})
 	is.Equal(got.status, http.StatusInternalServerError) // the servers' own answer, whole
 	is.True(got.header.Get("Server-Stamp") != "")
-	is.Equal(runsOf(servers[0], "both")+runsOf(servers[1], "both"), 2)
+	is.Equal(runCount(servers[0], "both")+runCount(servers[1], "both"), 2)
 }
 
-func TestGatewayAnswersAtTheTimeLimitAndEndsTheWork(t *testing.T) {
+func TestGatewayTimesOutAndCancelsRequest(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	s := b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	s := b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	s.SetBehavior(fake.Unresponsive)
-	got := n.ask(gatewayAsk{method: "POST", path: "/once/x", id: "slow", body: "b"})
+	got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: "slow", body: "b"})
 	is.Equal(got.status, http.StatusGatewayTimeout)
-	is.True(got.took >= 900*time.Millisecond && got.took < 1400*time.Millisecond)
+	is.True(got.duration >= 900*time.Millisecond && got.duration < 1400*time.Millisecond)
 	b.eventually("the server is told", func() bool { return s.ClientDisconnects() == 1 })
 }
 
 const streamHeader = "a:10,b:20"
 
-func TestGatewayPassesStreamsOn(t *testing.T) {
+func TestGatewayPassesStreams(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
-	got := n.ask(gatewayAsk{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+	b := newGatewayTestbed(t)
+	b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
+	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
 	is.NoErr(got.err)
 	is.Equal(strings.Count(got.body, "data: piece-"), fake.StreamEvents)
 }
 
-func TestGatewayResumesAStreamOnceInOrder(t *testing.T) {
+func TestGatewayResumesStreamOnceInOrder(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	broken, sound := b.server("i-1"), b.server("i-2")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	broken, sound := b.addServer("i-1"), b.addServer("i-2")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	broken.SetBehavior(fake.TruncatedStream)
 	resumed := 0
 	for i := range 8 {
 		header := map[string]string{"Prompt-Prefix": fmt.Sprintf("a:10,b%d:20,c:30", i)}
-		got := n.ask(gatewayAsk{method: "POST", path: "/resume/x", id: fmt.Sprint("s", i), body: "b", header: header})
+		got := n.send(gatewayRequest{method: "POST", path: "/resume/x", id: fmt.Sprint("s", i), body: "b", header: header})
 		is.NoErr(got.err)
 		want := ""
 		for event := 1; event <= fake.StreamEvents; event++ {
@@ -206,62 +206,62 @@
 	is.True(resumed > 0)
 }
 
-func TestGatewayNeverLetsABrokenStreamLookWhole(t *testing.T) {
+func TestGatewayAbortsTruncatedStream(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	s := b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	s := b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	s.SetBehavior(fake.TruncatedStream)
-	got := n.ask(gatewayAsk{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
 	is.True(got.err != nil)
-	is.Equal(runsOf(s, "s"), 1)
+	is.Equal(runCount(s, "s"), 1)
 }
 
-func TestGatewayObeysConfigurationAndLeavingServers(t *testing.T) {
+func TestGatewayObeysConfigurationAndDrainingServers(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	first, second := b.server("i-1"), b.server("i-2")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
+	b := newGatewayTestbed(t)
+	first, second := b.addServer("i-1"), b.addServer("i-2")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
 	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "draining"))
 	time.Sleep(time.Second)
 	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "ready")) // what was seen leaving never comes back
 	time.Sleep(time.Second)
 	before := len(first.Runs())
 	for i := range 6 {
-		is.Equal(n.ask(gatewayAsk{method: "POST", path: "/once/x", id: fmt.Sprint("l", i), body: "b"}).status, http.StatusOK)
+		is.Equal(n.send(gatewayRequest{method: "POST", path: "/once/x", id: fmt.Sprint("l", i), body: "b"}).status, http.StatusOK)
 	}
 	is.Equal(len(first.Runs()), before)
 	is.True(len(second.Runs()) >= 6)
 	b.config["Tenants"] = []any{map[string]any{"Name": "two", "ApiKeys": []string{"key-of-two"}}}
-	b.configure()
+	b.writeConfig()
 	b.eventually("the key is taken away", func() bool {
-		return n.ask(gatewayAsk{method: "GET", path: "/once/x", id: "k"}).status == http.StatusUnauthorized
+		return n.send(gatewayRequest{method: "GET", path: "/once/x", id: "k"}).status == http.StatusUnauthorized
 	})
 }
 
-func TestGatewayHearsOfChangesByPeersWhenTheStoreTurnsItAway(t *testing.T) {
+func TestGatewayGetsChangesFromPeersWhenStoreIsBusy(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	b.server("i-1")
-	sound := b.start(b.store.Address())
-	b.listed(sound, "p")
+	b := newGatewayTestbed(t)
+	b.addServer("i-1")
+	sound := b.startNode(b.store.Address())
+	b.waitServing(sound, "p")
 	// The second node's store answers nothing but 503.
 	shut := fake.NewStore()
 	t.Cleanup(shut.Close)
 	shut.SetFaults(fake.Faults{Busy: true})
-	n := b.start(shut.Address(), sound.set.Listen.Peers)
-	b.listed(n, "q")
+	n := b.startNode(shut.Address(), sound.settings.Listen.Peers)
+	b.waitServing(n, "q")
 	b.config["Tenants"] = []any{}
-	b.configure()
+	b.writeConfig()
 	b.eventually("the change arrives", func() bool {
-		return n.ask(gatewayAsk{method: "GET", path: "/once/x", id: "k", header: map[string]string{"Authorization": "Bearer none"}}).status == http.StatusOK
+		return n.send(gatewayRequest{method: "GET", path: "/once/x", id: "k", header: map[string]string{"Authorization": "Bearer none"}}).status == http.StatusOK
 	})
 	for _, node := range []*gatewayNode{sound, n} {
 		var found struct{ Addresses []string }
 		b.eventually("both nodes are listed", func() bool {
-			resp, err := http.Get("http://" + node.set.Listen.Directory + "/-/resolve?Name=" + benchHost)
+			resp, err := http.Get("http://" + node.settings.Listen.Directory + "/-/resolve?Name=" + testHost)
 			if err != nil {
 				return false
 			}
@@ -272,15 +272,15 @@
 	is.Equal(len(b.nodes), 2)
 }
 
-func TestGatewayStopsWithoutCuttingARequest(t *testing.T) {
+func TestGatewayStopsGracefully(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	b.server("i-1")
-	n := b.start(b.store.Address())
-	b.listed(n, "p")
-	answers := make(chan gatewayAnswer, 1)
+	b := newGatewayTestbed(t)
+	b.addServer("i-1")
+	n := b.startNode(b.store.Address())
+	b.waitServing(n, "p")
+	answers := make(chan gatewayResponse, 1)
 	go func() {
-		answers <- n.ask(gatewayAsk{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+		answers <- n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
 	}()
 	time.Sleep(10 * time.Millisecond)
 	n.stop()
@@ -288,7 +288,7 @@
 	is.NoErr(got.err)
 	is.Equal(strings.Count(got.body, "data: piece-"), fake.StreamEvents)
 	b.eventually("not ready", func() bool {
-		resp, err := http.Get("http://" + n.set.Listen.Ready + "/-/readiness")
+		resp, err := http.Get("http://" + n.settings.Listen.Ready + "/-/readiness")
 		if err != nil {
 			return true
 		}
@@ -302,18 +302,18 @@
 	}
 }
 
-func TestGatewayReportsUsageOnceThoughAnswersAreLost(t *testing.T) {
+func TestGatewayReportsUsageOnceDespiteLostResponses(t *testing.T) {
 	is := is.New(t)
-	b := newGatewayBench(t)
-	b.server("i-1")
-	first := b.start(b.store.Address())
-	b.start(b.store.Address(), first.set.Listen.Peers)
-	b.listed(first, "p")
+	b := newGatewayTestbed(t)
+	b.addServer("i-1")
+	first := b.startNode(b.store.Address())
+	b.startNode(b.store.Address(), first.settings.Listen.Peers)
+	b.waitServing(first, "p")
 	asked := 0
 	for round := range 8 {
 		b.store.SetFaults(fake.Faults{DropResponses: round%2 == 1})
 		for _, n := range b.nodes {
-			if n.ask(gatewayAsk{method: "POST", path: "/once/x", id: fmt.Sprintf("u%d%s", round, n.set.Node), body: "b"}).status == http.StatusOK {
+			if n.send(gatewayRequest{method: "POST", path: "/once/x", id: fmt.Sprintf("u%d%s", round, n.settings.Node), body: "b"}).status == http.StatusOK {
 				asked++
 			}
 		}
@@ -340,7 +340,7 @@
 		for _, counts := range seen {
 			var of map[string]int
 			_ = json.Unmarshal([]byte(counts), &of)
-			total += of[benchCustomer]
+			total += of[testCustomer]
 		}
 		return total
 	}
--- a/test/gateway_bench_test.go
+++ b/test/gateway_testbed_test.go
@@ -20,7 +20,7 @@
 )
 
 // gatewayBench is a platform of stand-ins with gateway nodes in this process.
-type gatewayBench struct {
+type gatewayTestbed struct {
 	t       *testing.T
 	is      *is.I
 	store   *fake.Store
@@ -33,59 +33,59 @@
 }
 
 type gatewayNode struct {
-	set  gateway.Settings
-	stop context.CancelFunc
-	done chan struct{}
+	settings gateway.Settings
+	stop     context.CancelFunc
+	done     chan struct{}
 }
 
 const (
-	benchKey      = "key-of-one"
-	benchCustomer = "one"
-	benchHost     = "site.example"
+	testAPIKey   = "key-of-one"
+	testCustomer = "one"
+	testHost     = "site.example"
 )
 
-func newGatewayBench(t *testing.T) *gatewayBench {
-	b := &gatewayBench{t: t, is: is.New(t), store: fake.NewStore(), cloud: fake.NewCloud(), duties: "usage_reporting", retries: "Bounds.RetryBudgetRatio=0.2\nBounds.ExtraRetries=50\n"}
+func newGatewayTestbed(t *testing.T) *gatewayTestbed {
+	b := &gatewayTestbed{t: t, is: is.New(t), store: fake.NewStore(), cloud: fake.NewCloud(), duties: "usage_reporting", retries: "Bounds.RetryBudgetRatio=0.2\nBounds.ExtraRetries=50\n"}
 	t.Cleanup(b.store.Close)
 	t.Cleanup(b.cloud.Close)
 	b.config = map[string]any{
 		"Routes": []any{
-			b.route("once", "/once/", "unsafe", "plain", 1, false),
-			b.route("repeat", "/repeat/", "safe", "plain", 2, false),
-			b.route("stream", "/stream/", "streaming", "plain", 1, false),
-			b.route("resume", "/resume/", "streaming", "plain", 2, true),
+			b.routeConfig("once", "/once/", "unsafe", "plain", 1, false),
+			b.routeConfig("repeat", "/repeat/", "safe", "plain", 2, false),
+			b.routeConfig("stream", "/stream/", "streaming", "plain", 1, false),
+			b.routeConfig("resume", "/resume/", "streaming", "plain", 2, true),
 		},
 		"Services": []any{map[string]any{"Name": "plain", "HealthCheckPath": "/health", "MaxConnections": 100}},
 		"Limits":   map[string]any{"MaxHeaderBytes": 4096, "MaxBodyBytes": 10000, "HeaderTimeoutMs": 3000, "IdleTimeoutMs": 15000},
-		"Tenants":  []any{map[string]any{"Name": benchCustomer, "ApiKeys": []string{benchKey}}},
+		"Tenants":  []any{map[string]any{"Name": testCustomer, "ApiKeys": []string{testAPIKey}}},
 	}
-	b.configure()
+	b.writeConfig()
 	return b
 }
 
-func (b *gatewayBench) route(name, prefix, kind, service string, attempts int, resume bool) map[string]any {
+func (b *gatewayTestbed) routeConfig(name, prefix, kind, service string, attempts int, resume bool) map[string]any {
 	return map[string]any{
-		"Name": name, "Host": benchHost, "PathPrefix": prefix, "Kind": kind, "TimeoutMs": 1000, "TargetLatencyMs": 100,
+		"Name": name, "Host": testHost, "PathPrefix": prefix, "Kind": kind, "TimeoutMs": 1000, "TargetLatencyMs": 100,
 		"Service": service, "MaxAttempts": attempts, "Sticky": kind == "streaming", "Resumable": resume, "TargetGapMs": 500,
 	}
 }
 
 // configure writes the operator's configuration as a new version.
-func (b *gatewayBench) configure() {
+func (b *gatewayTestbed) writeConfig() {
 	b.version += 3
 	b.config["Version"] = b.version
 	b.store.Put("op/config", b.config)
 }
 
 // server starts a server of the service and lists it.
-func (b *gatewayBench) server(id string) *fake.Server {
+func (b *gatewayTestbed) addServer(id string) *fake.Server {
 	s := fake.NewServer(id)
 	b.t.Cleanup(s.Close)
 	b.store.Put("servers/"+id, s.Entry("plain", "zone-1", "ready"))
 	return s
 }
 
-func freeAddress(t *testing.T) string {
+func ephemeralAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,15 +95,15 @@
 }
 
 // start starts a node whose store is at the given address.
-func (b *gatewayBench) start(storeAddress string, seeds ...string) *gatewayNode {
-	return b.startAs(fmt.Sprintf("node-%d", len(b.nodes)+1), true, storeAddress, seeds...)
+func (b *gatewayTestbed) startNode(storeAddress string, seeds ...string) *gatewayNode {
+	return b.startNamedNode(fmt.Sprintf("node-%d", len(b.nodes)+1), true, storeAddress, seeds...)
 }
 
 // startAs starts a node of a name; first says that no node of the system ran before.
-func (b *gatewayBench) startAs(name string, first bool, storeAddress string, seeds ...string) *gatewayNode {
+func (b *gatewayTestbed) startNamedNode(name string, first bool, storeAddress string, seeds ...string) *gatewayNode {
 	text := fmt.Sprintf("NodeName=%s\nZone=zone-1\nRegion=here\nFirstStart=%t\nSeedNodes=%s\n", name, first, strings.Join(seeds, ","))
 	for _, name := range []string{"Front", "Ready", "Control", "Directory"} {
-		text += "ListenAddresses." + name + "=" + freeAddress(b.t) + "\n"
+		text += "ListenAddresses." + name + "=" + ephemeralAddr(b.t) + "\n"
 	}
 	text += "PlatformSettings.Address=" + storeAddress + "\nCloudApi.Address=" + b.cloud.Address() + "\nCloudApi.Duties=" + b.duties + "\n" +
 		"Bounds.GracePeriodS=2\nBounds.LeaseMs=1000\nBounds.UsageWindowS=1\nBounds.UsageLateS=10\nBounds.BudgetWindowS=10\n" + b.retries
@@ -114,7 +114,7 @@
 	node, err := gateway.New(set, platform.New(set))
 	b.is.NoErr(err)
 	ctx, stop := context.WithCancel(context.Background())
-	n := &gatewayNode{set: set, stop: stop, done: make(chan struct{})}
+	n := &gatewayNode{settings: set, stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(n.done)
 		_ = node.Run(ctx)
@@ -132,7 +132,7 @@
 	return n
 }
 
-func (b *gatewayBench) eventually(what string, holds func() bool) {
+func (b *gatewayTestbed) eventually(what string, holds func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(10 * time.Second)
 	for !holds() {
@@ -144,25 +144,25 @@
 }
 
 // gatewayAsk is a request of a client.
-type gatewayAsk struct {
+type gatewayRequest struct {
 	method, path, id, body string
 	header                 map[string]string
 }
 
 // gatewayAnswer is what a client got; err is set when the answer did not end.
-type gatewayAnswer struct {
-	status int
-	header http.Header
-	body   string
-	err    error
-	took   time.Duration
+type gatewayResponse struct {
+	status   int
+	header   http.Header
+	body     string
+	err      error
+	duration time.Duration
 }
 
-func (n *gatewayNode) ask(a gatewayAsk) gatewayAnswer {
-	req, _ := http.NewRequest(a.method, "http://"+n.set.Listen.Callers+a.path, strings.NewReader(a.body))
-	req.Host = benchHost
+func (n *gatewayNode) send(a gatewayRequest) gatewayResponse {
+	req, _ := http.NewRequest(a.method, "http://"+n.settings.Listen.Callers+a.path, strings.NewReader(a.body))
+	req.Host = testHost
 	req.Header.Set("Request-Id", a.id)
-	req.Header.Set("Authorization", "Bearer "+benchKey)
+	req.Header.Set("Authorization", "Bearer "+testAPIKey)
 	for name, value := range a.header {
 		req.Header.Set(name, value)
 	}
@@ -170,15 +170,15 @@
 	began := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		return gatewayAnswer{err: err, took: time.Since(began)}
+		return gatewayResponse{err: err, duration: time.Since(began)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return gatewayAnswer{resp.StatusCode, resp.Header, string(raw), err, time.Since(began)}
+	return gatewayResponse{resp.StatusCode, resp.Header, string(raw), err, time.Since(began)}
 }
 
-func (b *gatewayBench) listed(n *gatewayNode, id string) {
+func (b *gatewayTestbed) waitServing(n *gatewayNode, id string) {
 	b.eventually("requests are served", func() bool {
-		return n.ask(gatewayAsk{method: http.MethodGet, path: "/repeat/probe", id: id}).status == http.StatusOK
+		return n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/probe", id: id}).status == http.StatusOK
 	})
 }
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -21,7 +21,7 @@
 // These measure; they assert nothing. make measure runs them and prints tables.
 
 // load runs crankctl load against addresses and returns its report.
-func (b *bench) load(addrs []string, args ...string) ctl.LoadReport {
+func (b *testbed) runLoad(addrs []string, args ...string) ctl.LoadReport {
 	b.t.Helper()
 	all := append([]string{"--entry", strings.Join(addrs, ","), "--key", rideKey, "load", "--model", "climb", "--json"}, args...)
 	cmd := exec.Command(filepath.Join(binaries, "crankctl"), all...)
@@ -37,7 +37,7 @@
 	return r
 }
 
-func (b *bench) callerAddrs() []string {
+func (b *testbed) callerAddrs() []string {
 	var out []string
 	for _, n := range b.nodes {
 		out = append(out, n.callers)
@@ -48,7 +48,7 @@
 // What the path through a node adds to the first token, against the same load
 // sent to the engines directly.
 func TestMeasureAddedLatency(t *testing.T) {
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 6, services: 1, modelServers: 1, engineShape: "step_ms: 5, step_per_seq: 0.02, prefill_tps: 200000, slots: 64"})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 6, services: 1, modelServers: 1, engineShape: "step_ms: 5, step_per_seq: 0.02, prefill_tps: 200000, slots: 64"})
 	var engines []string
 	for _, e := range b.engines {
 		engines = append(engines, e.addr)
@@ -59,8 +59,8 @@
 	} {
 		for run := range 3 {
 			args := []string{"--rate", c.rate, "--max-tokens", c.tokens, "--duration", "8s", "--prefix-len", "30", "--own-len", "5"}
-			direct := b.load(engines, args...)
-			via := b.load(b.callerAddrs(), args...)
+			direct := b.runLoad(engines, args...)
+			via := b.runLoad(b.callerAddrs(), args...)
 			t.Logf("%s, run %d: first token direct p50 %.2f p99 %.2f ms, through a node p50 %.2f p99 %.2f ms, added p50 %.2f p99 %.2f ms; between tokens p95 direct %.2f, through %.2f ms (sent %d, completed %d)",
 				c.name, run+1, direct.FirstP50, direct.FirstP99, via.FirstP50, via.FirstP99, via.FirstP50-direct.FirstP50, via.FirstP99-direct.FirstP99, direct.BetweenP95, via.BetweenP95, via.Sent, via.Completed)
 		}
@@ -69,7 +69,7 @@
 
 // The cost of a claim: bookings that claim against the same calls made repeatable by their key being fresh.
 func TestMeasureClaim(t *testing.T) {
-	b := newBench(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
+	b := newTestbed(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
 	traffic := func() (in, out int64) {
 		for _, n := range b.nodes {
 			s := b.state(n)
@@ -87,13 +87,13 @@
 		perSecond := float64(in-idleIn+out-idleOut) / time.Since(idleBegan).Seconds()
 		for _, claimed := range []bool{false, true} {
 			version := b.apply(catalog.Resource{Kind: catalog.KindService, Name: "booking", Service: &catalog.Service{Repeatable: !claimed}})
-			b.eventually("in force", func() bool { return b.inForce(version).Have == 5 })
+			b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == 5 })
 			in0, out0 := traffic()
 			began := time.Now()
 			took := make([]time.Duration, n)
-			gather(4, func(w int) {
+			runConcurrently(4, func(w int) {
 				for i := w; i < n; i += 4 {
-					a := booking(fmt.Sprintf("m%d-%t-%d", run, claimed, i)).with("Crankridge-Attempt", "1")
+					a := bookingRequest(fmt.Sprintf("m%d-%t-%d", run, claimed, i)).withHeader("Crankridge-Attempt", "1")
 					if !claimed {
 						delete(a.header, "Idempotency-Key")
 					}
@@ -101,17 +101,17 @@
 					if r.outcome != "completed" {
 						t.Error(r.status, r.body)
 					}
-					took[i] = r.took
+					took[i] = r.duration
 				}
 			})
 			in1, out1 := traffic()
 			bytes := float64(in1-in0+out1-out0) - perSecond*time.Since(began).Seconds()
-			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantile(took, .5), quantile(took, .99), bytes/n)
+			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantileMS(took, .5), quantileMS(took, .99), bytes/n)
 		}
 	}
 }
 
-func quantile(d []time.Duration, q float64) float64 {
+func quantileMS(d []time.Duration, q float64) float64 {
 	s := append([]time.Duration(nil), d...)
 	for i := range s {
 		for j := i; j > 0 && s[j] < s[j-1]; j-- {
@@ -130,16 +130,16 @@
 	for _, sc := range []struct {
 		name, lag string
 		args      []string
-		disturb   func(b *bench)
+		disturb   func(b *testbed)
 	}{
 		{"steady, reports 0.5 s old", "500", steady, nil},
 		{"steady, reports 2 s old", "2000", steady, nil},
 		{"steady, reports 5 s old", "5000", steady, nil},
 		{"surge x10 in 5 s, reports 0.5 s old", "500", surged, nil},
-		{"surge, a domain taken back at its start", "500", surged, func(b *bench) { b.reclaimDomain("fd-b", 2*time.Second) }},
-		{"steady, half the cache events lost", "500", steady, func(b *bench) {
+		{"surge, a domain taken back at its start", "500", surged, func(b *testbed) { b.reclaimDomain("fd-b", 2*time.Second) }},
+		{"steady, half the cache events lost", "500", steady, func(b *testbed) {
 			for _, e := range b.engines {
-				b.admin(e.addr, "faults", standin.EngineFaults{DropCacheEvents: 0.5})
+				b.postAdmin(e.addr, "faults", standin.EngineFaults{DropCacheEvents: 0.5})
 			}
 		}},
 	} {
@@ -149,11 +149,11 @@
 				entry, lag = "routing: {policy: estimate, report: 50ms}", "1"
 			}
 			t.Run(sc.name+"/"+p, func(t *testing.T) {
-				b := newBench(t, options{nodes: 3, domains: 4, engines: 8, services: 0, modelServers: 1, reclaimable: true, engineShape: shape + lag, entry: entry})
+				b := newTestbed(t, options{nodes: 3, domains: 4, engines: 8, services: 0, modelServers: 1, reclaimable: true, engineShape: shape + lag, entry: entry})
 				if sc.disturb != nil {
 					time.AfterFunc(3*time.Second, func() { sc.disturb(b) })
 				}
-				r := b.load(b.callerAddrs(), sc.args...)
+				r := b.runLoad(b.callerAddrs(), sc.args...)
 				t.Logf("| %s | %s | %.0f | %.0f | %.1f | %.1f%% | %d of %d | %d | %d | %.0f |", sc.name, p, r.FirstP50, r.FirstP95, r.BetweenP95, 100*r.Within, r.Prefilled, r.PromptTokens, r.Refused, r.Broken, r.TokensPS)
 			})
 		}
@@ -162,15 +162,15 @@
 
 // Three times what the engines can do, from a large customer and a small one.
 func TestMeasureOverload(t *testing.T) {
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, services: 0, modelServers: 1,
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 0, modelServers: 1,
 		engineShape: "slots: 16, prefill_tps: 8000, step_ms: 15, step_per_seq: 0.4", entry: "limits: {first_token: 3s}"})
 	args := []string{"--prefixes", "5", "--prefix-len", "20", "--own-len", "5", "--max-tokens", "40"}
 	// 3 engines of 16 slots whose 40 tokens take 21 ms each.
-	full := b.load(b.callerAddrs(), append([]string{"--rate", "50", "--duration", "15s"}, args...)...)
+	full := b.runLoad(b.callerAddrs(), append([]string{"--rate", "50", "--duration", "15s"}, args...)...)
 	capacity := 3.0 * 16 / (40 * 0.021) * 40
 	t.Logf("capacity %.0f tokens/s; at about 0.9 of it: %.0f tokens/s, refused %d", capacity, full.TokensPS, full.Refused)
 	// Three callers of weight 3 for one of weight 1.
-	r := b.load(b.callerAddrs(), append([]string{"--rate", "171", "--duration", "60s", "--keys", rideKey + "," + clinicKey}, args...)...)
+	r := b.runLoad(b.callerAddrs(), append([]string{"--rate", "171", "--duration", "60s", "--keys", rideKey + "," + clinicKey}, args...)...)
 	t.Logf("at 3 times capacity for 60 s: %.0f tokens/s (%.0f%% of capacity), refused %d of %d %v, broken %d, refusal p99 %.1f ms, first token p95 %.0f ms", r.TokensPS, 100*r.TokensPS/capacity, r.Refused, r.Sent, r.RefusedByCode, r.Broken, r.RefusalP99, r.FirstP95)
 	all := r.ByKey[0].Tokens + r.ByKey[1].Tokens
 	t.Logf("shares by weight 3 to 1: %.1f%% and %.1f%%", 100*float64(r.ByKey[0].Tokens)/float64(all), 100*float64(r.ByKey[1].Tokens)/float64(all))
@@ -188,17 +188,17 @@
 		{"reclaimable, not spread", ", spread: false"},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			b := newBench(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, offers: offers, control: ", most_servers: 50" + v.control,
+			b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, offers: vmOffers, control: ", most_servers: 50" + v.control,
 				engineShape: "slots: 16, prefill_tps: 8000, step_ms: 15, step_per_seq: 0.4", entry: "routing: {report: 500ms}"})
-			b.applyAt(0, surge("rides", time.Now().Add(4*time.Second), 4))
+			b.createVia(0, newEvent("rides", time.Now().Add(4*time.Second), 4))
 			b.eventually("in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-			before := b.cost()
+			before := b.cloudCost()
 			began := time.Now()
 			degraded := make(chan time.Duration, 1)
 			time.AfterFunc(5*time.Second, func() {
-				b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
-				b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-a", Role: "engine", NoticeMS: 1000})
-				time.AfterFunc(5*time.Second, func() { b.admin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-a"}}) })
+				b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
+				b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-a", Role: "engine", NoticeMS: 1000})
+				time.AfterFunc(5*time.Second, func() { b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-a"}}) })
 			})
 			go func() {
 				bad := time.Duration(0)
@@ -210,8 +210,8 @@
 				}
 				degraded <- bad
 			}()
-			r := b.load(b.callerAddrs(), "--rate", "55", "--prefixes", "20", "--prefix-len", "100", "--max-tokens", "40", "--duration", "24s")
-			after := b.cost()
+			r := b.runLoad(b.callerAddrs(), "--rate", "55", "--prefixes", "20", "--prefix-len", "100", "--max-tokens", "40", "--duration", "24s")
+			after := b.cloudCost()
 			hours := time.Since(began).Hours()
 			t.Logf("| %s | %.1f | %.1f%% | %.0f | %.0f | %d | %d | %.1f s |", v.name, (after.Price-before.Price)/hours, 100*r.Within, r.FirstP50, r.FirstP95, r.Refused, r.Broken, (<-degraded).Seconds())
 		})
@@ -220,7 +220,7 @@
 
 // Processor time and memory of the data path, for each request and each token.
 func TestMeasurePath(t *testing.T) {
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 12, services: 1, modelServers: 1, engineShape: "step_ms: 10, step_per_seq: 0.02, prefill_tps: 200000, slots: 128"})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 12, services: 1, modelServers: 1, engineShape: "step_ms: 10, step_per_seq: 0.02, prefill_tps: 200000, slots: 128"})
 	cpu := func() (sum float64) {
 		for _, n := range b.nodes {
 			sum += cpuSeconds(n.cmd.Process.Pid)
@@ -230,7 +230,7 @@
 	for run := range 3 {
 		for _, c := range []struct{ rate, tokens string }{{"300", "1"}, {"60", "40"}, {"60", "100"}} {
 			from, began := cpu(), time.Now()
-			r := b.load(b.callerAddrs(), "--rate", c.rate, "--max-tokens", c.tokens, "--duration", "8s", "--prefix-len", "100", "--own-len", "5")
+			r := b.runLoad(b.callerAddrs(), "--rate", c.rate, "--max-tokens", c.tokens, "--duration", "8s", "--prefix-len", "100", "--own-len", "5")
 			used := cpu() - from
 			t.Logf("run %d: %s requests/s of %s tokens: completed %d of %d, %.0f tokens/s; processor %.0f us a request, %.1f us a token at most; resident %d MB; lasted %.1f s",
 				run+1, c.rate, c.tokens, r.Completed, r.Sent, r.TokensPS, 1e6*used/float64(r.Completed), 1e6*used/(r.TokensPS*time.Since(began).Seconds()), residentMB(b.nodes[0].cmd.Process.Pid), time.Since(began).Seconds())
--- a/test/surge_test.go
+++ b/test/overload_test.go
@@ -18,19 +18,19 @@
 
 // Streams of no event make room for a customer of an event in force. They are
 // paused, not cut, and end with the tokens they would have had.
-func TestEventTakesItsPlace(t *testing.T) {
+func TestEventPreemptsOtherStreams(t *testing.T) {
 	is := is.New(t)
 	event := catalog.Resource{Kind: catalog.KindEvent, Name: "opening", Event: &catalog.Event{
 		Start: time.Now().Add(-time.Minute), End: time.Now().Add(time.Hour), Models: []catalog.EventModel{{Name: "climb", Servers: 1}},
 		Customers: []catalog.EventCustomer{{Name: "clinics", FirstTokenMS: 3000}}, Priority: 5,
 	}}
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "routing: {overshoot: 1, report: 200ms}", extra: []catalog.Resource{event}})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "routing: {overshoot: 1, report: 200ms}", extra: []catalog.Resource{event}})
 	const slots, low, tokens = 6, 12, 150 // twice what fits, 3 s and more each
-	want := b.nodes[0].send(chat(narrative(0), tokens, true))
+	want := b.nodes[0].send(chatRequest(longPrompt(0), tokens, true))
 	begun := make(chan int, low)
-	var streams []reply
+	var streams []response
 	done := make(chan struct{})
-	go func() { streams = b.streams(low, tokens, begun); close(done) }()
+	go func() { streams = b.sendStreams(low, tokens, begun); close(done) }()
 	for range slots {
 		<-begun
 	}
@@ -43,35 +43,35 @@
 		}
 		return full == 3
 	})
-	urgent := chat("When is the next chair free?", 10, true)
+	urgent := chatRequest("When is the next chair free?", 10, true)
 	urgent.bearer = clinicKey
 	r := b.nodes[0].send(urgent)
-	is.True(r.whole)
-	is.True(r.took < 2*time.Second) // the others hold their slots for longer
+	is.True(r.complete)
+	is.True(r.duration < 2*time.Second) // the others hold their slots for longer
 	<-done
 	for _, s := range streams {
-		is.True(s.whole)
+		is.True(s.complete)
 		is.Equal(len(s.tokens), tokens)
 	}
 	is.Equal(streams[0].tokens, want.tokens)
-	is.True(b.metric("tokens_carried", "cause")["yield"] > 0)
-	t.Logf("urgent answer after %d ms; paused streams went on with %v tokens, computed again %v", r.took.Milliseconds(), b.metric("tokens_carried", "cause"), b.metric("tokens_recomputed", "cause"))
+	is.True(b.counterByLabel("tokens_carried", "cause")["yield"] > 0)
+	t.Logf("urgent answer after %d ms; paused streams went on with %v tokens, computed again %v", r.duration.Milliseconds(), b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
 }
 
 // What cannot be served in time is refused at once, with the time to come back.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "limits: {first_token: 500ms}"})
-	replies := make([]reply, 60)
-	gather(60, func(i int) { replies[i] = b.nodes[i%3].send(chat(narrative(i), 60, true)) })
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "limits: {first_token: 500ms}"})
+	replies := make([]response, 60)
+	runConcurrently(60, func(i int) { replies[i] = b.nodes[i%3].send(chatRequest(longPrompt(i), 60, true)) })
 	served, refused := 0, 0
 	for _, r := range replies {
 		switch {
-		case r.whole:
+		case r.complete:
 			served++
-		case r.outcome == "not-run" && r.retry != "" && strings.Contains(r.body, "overload"):
+		case r.outcome == "not-run" && r.retryAfter != "" && strings.Contains(r.body, "overload"):
 			refused++
-			is.True(r.took < time.Second)
+			is.True(r.duration < time.Second)
 		default:
 			t.Errorf("%+v", r)
 		}
@@ -84,38 +84,38 @@
 func TestServiceTimeLimit(t *testing.T) {
 	is := is.New(t)
 	slow := catalog.Resource{Kind: catalog.KindService, Name: "booking", Service: &catalog.Service{TimeoutMS: 200}}
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, extra: []catalog.Resource{slow}})
-	b.admin(b.services[0], "faults", standin.ServiceFaults{Hang: true})
-	r := b.nodes[0].send(booking("hung"))
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, extra: []catalog.Resource{slow}})
+	b.postAdmin(b.services[0], "faults", standin.ServiceFaults{Hang: true})
+	r := b.nodes[0].send(bookingRequest("hung"))
 	is.Equal(r.outcome, "may-have-run")
-	is.True(r.took < 2*time.Second)
+	is.True(r.duration < 2*time.Second)
 }
 
 // When no engine gives a token, the request is given up and not held until
 // its deadline.
 func TestAllEnginesStalled(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, entry: "routing: {stall: 300ms}"})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, entry: "routing: {stall: 300ms}"})
 	for _, e := range b.engines {
-		b.admin(e.addr, "faults", standin.EngineFaults{Hang: true})
+		b.postAdmin(e.addr, "faults", standin.EngineFaults{Hang: true})
 	}
-	r := b.nodes[0].send(chat("hello", 5, false).with("Crankridge-Deadline-Ms", "60000"))
+	r := b.nodes[0].send(chatRequest("hello", 5, false).withHeader("Crankridge-Deadline-Ms", "60000"))
 	is.Equal(r.outcome, "may-have-run")
-	is.True(r.retry != "")
+	is.True(r.retryAfter != "")
 	is.True(strings.Contains(r.body, "upstream_stalled"))
-	is.True(r.took < 10*time.Second)
+	is.True(r.duration < 10*time.Second)
 }
 
 func TestCustomerLimitHoldsOverAllNodes(t *testing.T) {
 	is := is.New(t)
 	limited := catalog.Resource{Kind: catalog.KindCustomer, Name: "limited", Customer: &catalog.Customer{KeySHA256: catalog.HashKey("limited-key"), Weight: 1, RequestsPS: 20}}
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", extra: []catalog.Resource{limited}})
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", extra: []catalog.Resource{limited}})
 	began := time.Now()
 	const callers = 6
 	served := make([]int, callers)
-	gather(callers, func(i int) {
+	runConcurrently(callers, func(i int) {
 		for time.Since(began) < 5*time.Second {
-			a := chat("short", 1, false)
+			a := chatRequest("short", 1, false)
 			a.bearer = "limited-key"
 			if b.nodes[i%3].send(a).status == http.StatusOK {
 				served[i]++
@@ -134,8 +134,8 @@
 // taken up at another node.
 func TestSlowReader(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {write_stall: 300ms, orphan: 20s, answer_bytes: 4000000}"})
-	a := chat("A very long story.", 6000, true)
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {write_stall: 300ms, orphan: 20s, answer_bytes: 4000000}"})
+	a := chatRequest("A very long story.", 6000, true)
 	conn, err := net.Dial("tcp", b.nodes[0].callers)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
@@ -144,43 +144,43 @@
 	line, err := bufio.NewReaderSize(conn, 16).ReadString('\n')
 	is.NoErr(err)
 	is.True(strings.Contains(line, "200"))
-	is.True(b.nodes[0].send(chat("hello", 3, true)).whole)
-	whole := b.nodes[1].send(a.with("Idempotency-Key", "slow").with("Last-Event-ID", "5990"))
-	is.True(whole.whole)
-	is.Equal(whole.ids[0], 5991)
+	is.True(b.nodes[0].send(chatRequest("hello", 3, true)).complete)
+	whole := b.nodes[1].send(a.withHeader("Idempotency-Key", "slow").withHeader("Last-Event-ID", "5990"))
+	is.True(whole.complete)
+	is.Equal(whole.eventIDs[0], 5991)
 }
 
-func TestAnswerIsBounded(t *testing.T) {
+func TestResponseSizeLimit(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {answer_bytes: 1024}"})
-	r := b.nodes[0].send(chat("A long story.", 5000, true))
-	is.True(r.whole)
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {answer_bytes: 1024}"})
+	r := b.nodes[0].send(chatRequest("A long story.", 5000, true))
+	is.True(r.complete)
 	size := len(strings.Join(r.tokens, ""))
 	is.True(size >= 1024 && size < 1100)
 }
 
 // All of a failure domain's VMs are lost at once, entry node and engines
 // alike, without a word. Callers come back elsewhere and get the rest.
-func TestWholeDomainLostAtOnce(t *testing.T) {
+func TestFailureDomainLoss(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 6, domains: 3, engines: 6, services: 2, modelServers: 1, reclaimable: true})
+	b := newTestbed(t, options{nodes: 6, domains: 3, engines: 6, services: 2, modelServers: 1, reclaimable: true})
 	const n, tokens = 30, 200
-	want := make([]reply, n)
-	gather(n, func(i int) { want[i] = b.nodes[1].send(chat(narrative(i), tokens, true)) })
+	want := make([]response, n)
+	runConcurrently(n, func(i int) { want[i] = b.nodes[1].send(chatRequest(longPrompt(i), tokens, true)) })
 	begun := make(chan int, n*tokens)
-	got := make([]reply, n)
+	got := make([]response, n)
 	done := make(chan struct{})
 	go func() {
-		gather(n, func(i int) {
-			a := chat(narrative(i), tokens, true).with("Idempotency-Key", fmt.Sprintf("lost-%d", i))
-			a.tokens = begun
+		runConcurrently(n, func(i int) {
+			a := chatRequest(longPrompt(i), tokens, true).withHeader("Idempotency-Key", fmt.Sprintf("lost-%d", i))
+			a.tokenIDs = begun
 			got[i] = b.nodes[i%6].send(a)
-			for try := 1; !got[i].whole && try < 8; try++ {
+			for try := 1; !got[i].complete && try < 8; try++ {
 				<-time.After(100 * time.Millisecond)
-				a.tokens = nil
-				rest := b.nodes[(i+try)%6].send(a.with("Last-Event-ID", fmt.Sprint(len(got[i].tokens))))
+				a.tokenIDs = nil
+				rest := b.nodes[(i+try)%6].send(a.withHeader("Last-Event-ID", fmt.Sprint(len(got[i].tokens))))
 				got[i].tokens = append(got[i].tokens, rest.tokens...)
-				got[i].whole = rest.whole
+				got[i].complete = rest.complete
 			}
 		})
 		close(done)
@@ -203,24 +203,24 @@
 	}
 	<-done
 	for i := range got {
-		is.True(got[i].whole)
+		is.True(got[i].complete)
 		is.Equal(got[i].tokens, want[i].tokens)
 	}
-	t.Logf("streams went on with %v tokens, computed again %v", b.metric("tokens_carried", "cause"), b.metric("tokens_recomputed", "cause"))
+	t.Logf("streams went on with %v tokens, computed again %v", b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
 }
 
 // The key-value service answers every call half a second late.
 func TestKeyValueServiceSlow(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	b.kvFaults(standin.KVFaults{DelayMS: 500})
-	gather(30, func(i int) {
-		r := b.nodes[i%3].send(booking(fmt.Sprintf("slow-%d", i)))
-		if r.status != http.StatusOK || r.took > time.Second {
-			t.Errorf("%d after %s", r.status, r.took)
+	runConcurrently(30, func(i int) {
+		r := b.nodes[i%3].send(bookingRequest(fmt.Sprintf("slow-%d", i)))
+		if r.status != http.StatusOK || r.duration > time.Second {
+			t.Errorf("%d after %s", r.status, r.duration)
 		}
 	})
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "slow", Model: &catalog.Model{Bytes: 1, Version: "1"}})
-	b.eventually("in force", func() bool { return b.inForce(version).Have == 3 })
-	is.Equal(len(b.runs()), 30)
+	b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == 3 })
+	is.Equal(len(b.runCounts()), 30)
 }
--- a/test/reclaim_test.go
+++ b/test/reclaim_test.go
@@ -18,7 +18,7 @@
 )
 
 // metric adds up a counter over all nodes, by the named label.
-func (b *bench) metric(name, label string) map[string]float64 {
+func (b *testbed) counterByLabel(name, label string) map[string]float64 {
 	line := regexp.MustCompile(`(?m)^crankridge_` + name + `_total\{.*?` + label + `="([^"]*)".*?\} ([0-9.e+]+)$`)
 	out := map[string]float64{}
 	for _, n := range b.nodes {
@@ -38,17 +38,17 @@
 	return out
 }
 
-func narrative(i int) string {
+func longPrompt(i int) string {
 	return fmt.Sprintf("Ride %d. ", i) + strings.Repeat("The route begins at the old mill and follows the river. ", 20)
 }
 
 // streams sends n streams over the nodes; begun is told of each first token.
-func (b *bench) streams(n, tokens int, begun chan<- int) []reply {
-	out := make([]reply, n)
-	gather(n, func(i int) {
-		a := chat(narrative(i), tokens, true)
+func (b *testbed) sendStreams(n, tokens int, begun chan<- int) []response {
+	out := make([]response, n)
+	runConcurrently(n, func(i int) {
+		a := chatRequest(longPrompt(i), tokens, true)
 		ids := make(chan int, tokens+1)
-		a.tokens = ids
+		a.tokenIDs = ids
 		go func() {
 			<-ids
 			if begun != nil {
@@ -63,8 +63,8 @@
 
 // reclaimDomain takes back a domain's engines as the cloud does: with a
 // notice, and at its end the VMs are gone whatever runs on them.
-func (b *bench) reclaimDomain(domain string, notice time.Duration) (gone <-chan struct{}) {
-	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: domain, Role: "engine", NoticeMS: notice.Milliseconds()})
+func (b *testbed) reclaimDomain(domain string, notice time.Duration) (gone <-chan struct{}) {
+	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: domain, Role: "engine", NoticeMS: notice.Milliseconds()})
 	done := make(chan struct{})
 	go func() {
 		<-time.After(notice)
@@ -82,13 +82,13 @@
 // engines in 4 failure domains, one of which is taken back under load.
 func TestDomainReclaimedUnderStreams(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 9, domains: 4, engines: 24, services: 1, modelServers: 1, reclaimable: true,
+	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 24, services: 1, modelServers: 1, reclaimable: true,
 		engineShape: "step_ms: 12, prefill_tps: 20000, move_tps: 50000"})
 	const n, tokens = 96, 600 // 7 s or more each: longer than the notice
 	begun := make(chan int, n)
-	var got []reply
+	var got []response
 	done := make(chan struct{})
-	go func() { got = b.streams(n, tokens, begun); close(done) }()
+	go func() { got = b.sendStreams(n, tokens, begun); close(done) }()
 	for range n {
 		<-begun
 	}
@@ -97,11 +97,11 @@
 	<-gone
 	lost, doubled := 0, 0
 	for _, r := range got {
-		if !r.whole {
+		if !r.complete {
 			lost++
 			t.Log(r.status, r.outcome, r.body, r.err, len(r.tokens))
 		}
-		for i, id := range r.ids {
+		for i, id := range r.eventIDs {
 			if id != i+1 {
 				doubled++
 			}
@@ -109,11 +109,11 @@
 	}
 	is.Equal(lost, 0)
 	is.Equal(doubled, 0)
-	carried, again := b.metric("tokens_carried", "cause"), b.metric("tokens_recomputed", "cause")
-	t.Logf("moves %v; streams went on with %v tokens, of which computed again %v", b.metric("moves", "how"), carried, again)
+	carried, again := b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause")
+	t.Logf("moves %v; streams went on with %v tokens, of which computed again %v", b.counterByLabel("moves", "how"), carried, again)
 	is.True(carried["reclaim"] > 0)
 	is.True(again["reclaim"] < carried["reclaim"]/5) // starting again from the prompt computes all of them
-	undisturbed := b.streams(n, tokens, nil)
+	undisturbed := b.sendStreams(n, tokens, nil)
 	for i := range got {
 		is.Equal(got[i].tokens, undisturbed[i].tokens)
 	}
@@ -123,23 +123,23 @@
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		sign func(b *bench, e *engineProc)
+		sign func(b *testbed, e *engineProc)
 	}{
-		{"the cloud's notice", func(b *bench, e *engineProc) {
-			b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
+		{"the cloud's notice", func(b *testbed, e *engineProc) {
+			b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
-		{"the engine's own word", func(b *bench, e *engineProc) {
-			b.admin(e.addr, "leave", map[string]int64{"deadline_ms": time.Now().Add(time.Minute).UnixMilli()})
+		{"the engine's own word", func(b *testbed, e *engineProc) {
+			b.postAdmin(e.addr, "leave", map[string]int64{"deadline_ms": time.Now().Add(time.Minute).UnixMilli()})
 		}},
-		{"a lost connection", func(_ *bench, e *engineProc) { e.signal(syscall.SIGKILL) }},
-		{"the cloud's notice, key-value service down", func(b *bench, e *engineProc) {
+		{"a lost connection", func(_ *testbed, e *engineProc) { e.signal(syscall.SIGKILL) }},
+		{"the cloud's notice, key-value service down", func(b *testbed, e *engineProc) {
 			b.kvFaults(standin.KVFaults{Down: true})
-			b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
+			b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, options{nodes: 5, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {report: 500ms}"})
+			b := newTestbed(t, options{nodes: 5, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {report: 500ms}"})
 			e := b.engines[1]
 			began := time.Now()
 			c.sign(b, e)
@@ -160,9 +160,9 @@
 				return
 			}
 			var before, after standin.EngineTotals
-			get("http://"+e.addr+"/admin/totals", "", &before)
-			gather(60, func(i int) { b.nodes[i%5].send(chat(narrative(i), 3, false)) })
-			get("http://"+e.addr+"/admin/totals", "", &after)
+			getJSON("http://"+e.addr+"/admin/totals", "", &before)
+			runConcurrently(60, func(i int) { b.nodes[i%5].send(chatRequest(longPrompt(i), 3, false)) })
+			getJSON("http://"+e.addr+"/admin/totals", "", &after)
 			is.Equal(after.Streams, before.Streams)
 		})
 	}
@@ -173,29 +173,29 @@
 func TestResumeAtAnotherNode(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		lose  func(b *bench)
+		lose  func(b *testbed)
 		given bool // the caller gave the key itself
 	}{
-		{"node killed", func(b *bench) { b.nodes[0].kill() }, true},
-		{"node killed, key issued by it", func(b *bench) { b.nodes[0].kill() }, false},
-		{"node and engines' connections cut", func(b *bench) {
+		{"node killed", func(b *testbed) { b.nodes[0].kill() }, true},
+		{"node killed, key issued by it", func(b *testbed) { b.nodes[0].kill() }, false},
+		{"node and engines' connections cut", func(b *testbed) {
 			b.nodes[0].kill()
 			for _, e := range b.engines {
-				b.admin(e.addr, "faults", map[string]int{"cut_after": 20})
+				b.postAdmin(e.addr, "faults", map[string]int{"cut_after": 20})
 			}
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, small)
-			want := b.nodes[1].send(chat(narrative(1), 120, true))
-			decoded := b.decoded()
-			a := chat(narrative(1), 120, true)
+			b := newTestbed(t, smallSystem)
+			want := b.nodes[1].send(chatRequest(longPrompt(1), 120, true))
+			decoded := b.decodedTokens()
+			a := chatRequest(longPrompt(1), 120, true)
 			if c.given {
-				a = a.with("Idempotency-Key", "narrative-1")
+				a = a.withHeader("Idempotency-Key", "narrative-1")
 			}
 			ids := make(chan int, 200)
-			a.tokens = ids
+			a.tokenIDs = ids
 			var once sync.Once
 			go func() {
 				for id := range ids {
@@ -205,39 +205,39 @@
 				}
 			}()
 			first := b.nodes[0].send(a)
-			is.True(!first.whole)
-			last := first.ids[len(first.ids)-1]
-			a.tokens = nil
-			a = a.with("Idempotency-Key", first.key).with("Last-Event-ID", strconv.Itoa(last))
+			is.True(!first.complete)
+			last := first.eventIDs[len(first.eventIDs)-1]
+			a.tokenIDs = nil
+			a = a.withHeader("Idempotency-Key", first.key).withHeader("Last-Event-ID", strconv.Itoa(last))
 			rest := b.nodes[1].send(a)
-			is.True(rest.whole)
-			is.Equal(rest.ids[0], last+1)
+			is.True(rest.complete)
+			is.Equal(rest.eventIDs[0], last+1)
 			is.Equal(append(first.tokens, rest.tokens...), want.tokens)
-			t.Logf("%d tokens before, %d after, %d decoded in all", len(first.tokens), len(rest.tokens), b.decoded()-decoded)
-			is.Equal(b.decoded()-decoded, int64(120)) // nothing twice
+			t.Logf("%d tokens before, %d after, %d decoded in all", len(first.tokens), len(rest.tokens), b.decodedTokens()-decoded)
+			is.Equal(b.decodedTokens()-decoded, int64(120)) // nothing twice
 		})
 	}
 }
 
-func (b *bench) decoded() int64 {
+func (b *testbed) decodedTokens() int64 {
 	sum := int64(0)
 	for _, e := range b.engines {
 		var totals standin.EngineTotals
-		get("http://"+e.addr+"/admin/totals", "", &totals)
+		getJSON("http://"+e.addr+"/admin/totals", "", &totals)
 		sum += totals.Decoded
 	}
 	return sum
 }
 
 // An engine that accepts and then makes no progress is found by that.
-func TestHalfDeadEngine(t *testing.T) {
+func TestHungEngine(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {stall: 500ms}"})
-	b.admin(b.engines[0].addr, "faults", standin.EngineFaults{Hang: true})
-	got := b.streams(30, 20, nil)
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {stall: 500ms}"})
+	b.postAdmin(b.engines[0].addr, "faults", standin.EngineFaults{Hang: true})
+	got := b.sendStreams(30, 20, nil)
 	for _, r := range got {
-		is.True(r.whole)
-		is.True(r.took < 8*time.Second)
+		is.True(r.complete)
+		is.True(r.duration < 8*time.Second)
 	}
 }
 
@@ -245,21 +245,21 @@
 // rest goes on at another node.
 func TestEntryNodeReclaimed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, engineShape: "step_ms: 20"})
-	want := b.nodes[1].send(chat(narrative(2), 300, true))
+	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, engineShape: "step_ms: 20"})
+	want := b.nodes[1].send(chatRequest(longPrompt(2), 300, true))
 	ids := make(chan int, 400)
-	a := chat(narrative(2), 300, true).with("Idempotency-Key", "long")
-	a.tokens = ids
-	first := make(chan reply, 1)
+	a := chatRequest(longPrompt(2), 300, true).withHeader("Idempotency-Key", "long")
+	a.tokenIDs = ids
+	first := make(chan response, 1)
 	go func() { first <- b.nodes[0].send(a) }()
 	<-ids
-	b.admin(b.cloud, "reclaim", standin.ReclaimRequest{Name: b.nodes[0].name, NoticeMS: 3000})
+	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: b.nodes[0].name, NoticeMS: 3000})
 	r := <-first
-	is.True(!r.whole) // six seconds do not fit in three
+	is.True(!r.complete) // six seconds do not fit in three
 	is.Equal(r.outcome, "may-have-run")
-	a.tokens = nil
-	rest := b.nodes[1].send(a.with("Last-Event-ID", strconv.Itoa(len(r.ids))))
-	is.True(rest.whole)
+	a.tokenIDs = nil
+	rest := b.nodes[1].send(a.withHeader("Last-Event-ID", strconv.Itoa(len(r.eventIDs))))
+	is.True(rest.complete)
 	is.Equal(append(r.tokens, rest.tokens...), want.tokens)
-	is.True(b.nodes[0].waitStopped(stopWithin))
+	is.True(b.nodes[0].waitExit(stopTimeout))
 }
--- a/test/hangup_test.go
+++ b/test/sighup_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestHangupAtStart signals processes that have just begun.
-func TestHangupAtStart(t *testing.T) {
+func TestSIGHUPDuringStartup(t *testing.T) {
 	is := is.New(t)
 	for i := range 12 {
 		path := filepath.Join(t.TempDir(), "settings")
@@ -22,7 +22,7 @@
 		p.launch("crank-gateway")
 		time.Sleep(time.Duration(4+i) * time.Millisecond)
 		p.signal(syscall.SIGHUP)
-		ended := p.waitStopped(300 * time.Millisecond)
+		ended := p.waitExit(300 * time.Millisecond)
 		p.kill()
 		is.True(!ended)
 	}
--- a/test/silence_test.go
+++ b/test/stall_test.go
@@ -12,30 +12,30 @@
 // silence is a toxic that lets bytes through until its link falls silent. Then
 // the connections that are open pass nothing any more, in either direction and
 // without a reset, while new ones work.
-type silence struct {
+type stallToxic struct {
 	Link string `json:"link"`
 }
 
 // silences holds, by link, the channel that closes when its open connections fall silent.
-var silences = struct {
+var stallSignals = struct {
 	sync.Mutex
 	of map[string]chan struct{}
 }{of: map[string]chan struct{}{}}
 
-func init() { toxics.Register("silence", new(silence)) }
+func init() { toxics.Register("silence", new(stallToxic)) }
 
 // NewState keeps, for a connection, when it falls silent.
-func (s *silence) NewState() any {
-	silences.Lock()
-	defer silences.Unlock()
-	if silences.of[s.Link] == nil {
-		silences.of[s.Link] = make(chan struct{})
+func (s *stallToxic) NewState() any {
+	stallSignals.Lock()
+	defer stallSignals.Unlock()
+	if stallSignals.of[s.Link] == nil {
+		stallSignals.of[s.Link] = make(chan struct{})
 	}
-	return silences.of[s.Link]
+	return stallSignals.of[s.Link]
 }
 
 // Pipe passes one connection's bytes on, or drops them.
-func (s *silence) Pipe(stub *toxics.ToxicStub) {
+func (s *stallToxic) Pipe(stub *toxics.ToxicStub) {
 	silent := stub.State.(chan struct{})
 	for {
 		select {
@@ -56,7 +56,7 @@
 }
 
 // newSilentLink is a link whose open connections can be silenced for good.
-func newSilentLink(t *testing.T, name, upstream string) *link {
+func newStallableLink(t *testing.T, name, upstream string) *link {
 	l := newLink(t, name, upstream)
 	for _, stream := range []string{"upstream", "downstream"} {
 		_, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(fmt.Sprintf(
@@ -69,11 +69,11 @@
 }
 
 // silenceOpen silences the connections that are open now, for good.
-func (l *link) silenceOpen() {
-	silences.Lock()
-	defer silences.Unlock()
-	if open := silences.of[l.addr]; open != nil {
+func (l *link) stallOpenConns() {
+	stallSignals.Lock()
+	defer stallSignals.Unlock()
+	if open := stallSignals.of[l.addr]; open != nil {
 		close(open)
 	}
-	silences.of[l.addr] = make(chan struct{})
+	stallSignals.of[l.addr] = make(chan struct{})
 }
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -9,14 +9,14 @@
 )
 
 // readStream reads a streamed answer as a caller does.
-func (r *reply) readStream(body io.Reader, tokens chan<- int) {
+func (r *response) readStream(body io.Reader, tokens chan<- int) {
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
 			r.err = err
 			return
 		}
 		if ev.Data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 			return
 		}
 		var chunk struct {
@@ -38,7 +38,7 @@
 			continue
 		}
 		id, _ := strconv.Atoi(ev.LastEventID)
-		r.ids = append(r.ids, id)
+		r.eventIDs = append(r.eventIDs, id)
 		r.tokens = append(r.tokens, chunk.Choices[0].Delta.Content+chunk.Choices[0].Text)
 		if tokens != nil {
 			tokens <- id
--- a/test/bench_test.go
+++ b/test/testbed_test.go
@@ -32,12 +32,12 @@
 )
 
 const (
-	token      = "test-operator"
-	rideKey    = "ride-key"
-	clinicKey  = "clinic-key"
-	patience   = 30 * time.Second
-	pollEvery  = 10 * time.Millisecond
-	stopWithin = 15 * time.Second
+	token             = "test-operator"
+	rideKey           = "ride-key"
+	clinicKey         = "clinic-key"
+	eventuallyTimeout = 30 * time.Second
+	pollInterval      = 10 * time.Millisecond
+	stopTimeout       = 15 * time.Second
 )
 
 var binaries string
@@ -72,7 +72,7 @@
 	path string
 }
 
-func (b *bench) start(name, binary, settings string) *proc {
+func (b *testbed) start(name, binary, settings string) *proc {
 	b.t.Helper()
 	path := filepath.Join(b.dir, name+".yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
@@ -108,7 +108,7 @@
 	<-p.done
 }
 
-func (p *proc) waitStopped(within time.Duration) bool {
+func (p *proc) waitExit(within time.Duration) bool {
 	select {
 	case <-p.done:
 		return true
@@ -147,7 +147,7 @@
 }
 
 // bench is a running system with its fakes.
-type bench struct {
+type testbed struct {
 	t        *testing.T
 	dir      string
 	kv       string
@@ -185,9 +185,9 @@
 	return l
 }
 
-func (l *link) cut() { l.proxy.Stop() }
+func (l *link) disconnect() { l.proxy.Stop() }
 
-func (l *link) join(t *testing.T) {
+func (l *link) reconnect(t *testing.T) {
 	if err := l.proxy.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -221,12 +221,12 @@
 
 func domainName(i int) string { return "fd-" + string(rune('a'+i)) }
 
-func newBench(t *testing.T, o options) *bench {
+func newTestbed(t *testing.T, o options) *testbed {
 	t.Helper()
-	b := &bench{t: t, dir: t.TempDir()}
-	t.Cleanup(b.showLogs)
+	b := &testbed{t: t, dir: t.TempDir()}
+	t.Cleanup(b.dumpLogs)
 	b.kv, b.cloud = freeAddr(t), freeAddr(t)
-	b.startOutside(o)
+	b.startStandins(o)
 	b.startControls(o)
 	b.apply(append(baseResources(o), o.extra...)...)
 	for i := range o.nodes {
@@ -234,7 +234,7 @@
 	}
 	b.eventually("all nodes are ready", func() bool {
 		for _, n := range b.nodes {
-			if get("http://"+n.callers+"/readyz", "", nil) != http.StatusOK {
+			if getJSON("http://"+n.callers+"/readyz", "", nil) != http.StatusOK {
 				return false
 			}
 		}
@@ -252,8 +252,8 @@
 	return b
 }
 
-func (b *bench) showLogs() {
-	b.findRaces()
+func (b *testbed) dumpLogs() {
+	b.reportRaces()
 	if !b.t.Failed() {
 		return
 	}
@@ -266,7 +266,7 @@
 }
 
 // findRaces fails the test when a process built with RACE=1 reported a data race.
-func (b *bench) findRaces() {
+func (b *testbed) reportRaces() {
 	files, _ := filepath.Glob(filepath.Join(b.dir, "*.log"))
 	for _, f := range files {
 		raw, _ := os.ReadFile(f)
@@ -276,7 +276,7 @@
 	}
 }
 
-func (b *bench) startOutside(o options) {
+func (b *testbed) startStandins(o options) {
 	weights := freeAddr(b.t)
 	rate := o.weightsRate
 	if rate == "" {
@@ -310,7 +310,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("node-%02d", i) }
 
-func (b *bench) startControls(o options) {
+func (b *testbed) startControls(o options) {
 	for i := range max(o.controls, 1) {
 		addr := freeAddr(b.t)
 		kv := newLink(b.t, "kv-control", b.kv)
@@ -326,11 +326,11 @@
 `, i, addr, kv.addr, b.cloud, token, o.control)))
 	}
 	b.eventually("crank-control answers", func() bool {
-		return get("http://"+b.controls[0]+"/readyz", token, nil) == http.StatusOK
+		return getJSON("http://"+b.controls[0]+"/readyz", token, nil) == http.StatusOK
 	})
 }
 
-func (b *bench) addNode(o options, i int) *node {
+func (b *testbed) addNode(o options, i int) *node {
 	n := &node{name: nodeName(i), domain: domainName(i % o.domains), callers: freeAddr(b.t), operators: freeAddr(b.t)}
 	listenPeers := freeAddr(b.t)
 	kv := b.kv
@@ -379,14 +379,14 @@
 }
 
 // apply stores resources through the first control, creating or replacing.
-func (b *bench) apply(list ...catalog.Resource) int64 {
+func (b *testbed) apply(list ...catalog.Resource) int64 {
 	b.t.Helper()
 	last := int64(0)
 	for _, r := range list {
 		b.eventually("apply "+r.Name, func() bool {
 			var have catalog.Resource
-			_ = get(b.resourceURL(0, r), token, &have)
-			status, stored := b.put(0, r, have.Version, "")
+			_ = getJSON(b.resourceURL(0, r), token, &have)
+			status, stored := b.putResource(0, r, have.Version, "")
 			last = stored.Version
 			return status == http.StatusOK
 		})
@@ -394,11 +394,11 @@
 	return last
 }
 
-func (b *bench) resourceURL(control int, r catalog.Resource) string {
+func (b *testbed) resourceURL(control int, r catalog.Resource) string {
 	return fmt.Sprintf("http://%s/v1/resources/%s/%s", b.controls[control], r.Kind, r.Name)
 }
 
-func (b *bench) put(control int, r catalog.Resource, version int64, change string) (int, catalog.Resource) {
+func (b *testbed) putResource(control int, r catalog.Resource, version int64, change string) (int, catalog.Resource) {
 	raw, _ := json.Marshal(r)
 	req, _ := http.NewRequest(http.MethodPut, b.resourceURL(control, r), bytes.NewReader(raw))
 	req.Header.Set("Authorization", "Bearer "+token)
@@ -417,7 +417,7 @@
 }
 
 // get reads a JSON document; into may be nil.
-func get(url, bearer string, into any) int {
+func getJSON(url, bearer string, into any) int {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -436,7 +436,7 @@
 }
 
 // admin makes an admin call of a fake.
-func (b *bench) admin(addr, path string, body any) {
+func (b *testbed) postAdmin(addr, path string, body any) {
 	b.t.Helper()
 	raw, _ := json.Marshal(body)
 	resp, err := http.Post("http://"+addr+"/admin/"+path, "application/json", bytes.NewReader(raw))
@@ -446,34 +446,34 @@
 	_ = resp.Body.Close()
 }
 
-func (b *bench) kvFaults(f standin.KVFaults) { b.admin(b.kv, "faults", f) }
+func (b *testbed) kvFaults(f standin.KVFaults) { b.postAdmin(b.kv, "faults", f) }
 
-func (b *bench) state(n *node) entry.State {
+func (b *testbed) state(n *node) entry.State {
 	var s entry.State
-	_ = get("http://"+n.operators+"/debug/state", token, &s)
+	_ = getJSON("http://"+n.operators+"/debug/state", token, &s)
 	return s
 }
 
 // eventually waits for a condition, with a bound.
-func (b *bench) eventually(what string, ok func() bool) {
+func (b *testbed) eventually(what string, ok func() bool) {
 	b.t.Helper()
-	deadline := time.Now().Add(patience)
-	tick := time.NewTicker(pollEvery)
+	deadline := time.Now().Add(eventuallyTimeout)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !ok() {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("not so within %s: %s", patience, what)
+			b.t.Fatalf("not so within %s: %s", eventuallyTimeout, what)
 		}
 		<-tick.C
 	}
 }
 
 // runs adds up how often each key was run over all servers of the service.
-func (b *bench) runs() map[string]int {
+func (b *testbed) runCounts() map[string]int {
 	out := map[string]int{}
 	for _, addr := range b.services {
 		one := map[string]int{}
-		_ = get("http://"+addr+"/admin/runs", "", &one)
+		_ = getJSON("http://"+addr+"/admin/runs", "", &one)
 		for k, n := range one {
 			out[k] += n
 		}
@@ -481,54 +481,54 @@
 	return out
 }
 
-func (b *bench) inForce(version int64) operator.RolloutStatus {
+func (b *testbed) rolloutStatus(version int64) operator.RolloutStatus {
 	var f operator.RolloutStatus
-	_ = get(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &f)
+	_ = getJSON(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &f)
 	return f
 }
 
 // reply is what a caller saw.
-type reply struct {
-	status  int
-	outcome string
-	key     string
-	retry   string
-	body    string   // of a whole answer or an error
-	tokens  []string // of a stream
-	ids     []int
-	whole   bool // the stream came to its end mark
-	err     error
-	took    time.Duration
-	header  http.Header
+type response struct {
+	status     int
+	outcome    string
+	key        string
+	retryAfter string
+	body       string   // of a whole answer or an error
+	tokens     []string // of a stream
+	eventIDs   []int
+	complete   bool // the stream came to its end mark
+	err        error
+	duration   time.Duration
+	header     http.Header
 }
 
 // ask describes a request.
-type ask struct {
-	path   string
-	body   string
-	bearer string
-	header map[string]string
-	tokens chan<- int    // told the id of each token, when not nil
-	limit  time.Duration // the caller gives up after it; callerLimit when 0
+type request struct {
+	path     string
+	body     string
+	bearer   string
+	header   map[string]string
+	tokenIDs chan<- int    // told the id of each token, when not nil
+	timeout  time.Duration // the caller gives up after it; callerLimit when 0
 }
 
 // callerLimit ends every call, so that no test hangs on a frozen process.
-const callerLimit = 60 * time.Second
+const callerTimeout = 60 * time.Second
 
 var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // send makes a request of node n and reads its answer to the end.
-func (n *node) send(a ask) reply {
+func (n *node) send(a request) response {
 	began := time.Now()
-	limit := a.limit
+	limit := a.timeout
 	if limit == 0 {
-		limit = callerLimit
+		limit = callerTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+a.path, strings.NewReader(a.body))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+a.bearer)
 	for k, v := range a.header {
@@ -536,36 +536,36 @@
 	}
 	resp, err := callerClient.Do(req)
 	if err != nil {
-		return reply{err: err, took: time.Since(began)}
+		return response{err: err, duration: time.Since(began)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r := reply{
+	r := response{
 		status: resp.StatusCode, outcome: resp.Header.Get("Crankridge-Outcome"), key: resp.Header.Get("Idempotency-Key"),
-		retry: resp.Header.Get("Retry-After-Ms"), header: resp.Header,
+		retryAfter: resp.Header.Get("Retry-After-Ms"), header: resp.Header,
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		r.readStream(resp.Body, a.tokens)
+		r.readStream(resp.Body, a.tokenIDs)
 	} else {
 		raw, err := io.ReadAll(resp.Body)
 		r.body, r.err = string(raw), err
 	}
-	r.took = time.Since(began)
+	r.duration = time.Since(began)
 	return r
 }
 
-func chat(prompt string, maxTokens int, stream bool) ask {
+func chatRequest(prompt string, maxTokens int, stream bool) request {
 	body, _ := json.Marshal(map[string]any{
 		"model": "climb", "max_tokens": maxTokens, "stream": stream,
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
-	return ask{path: "/v1/chat/completions", body: string(body), bearer: rideKey, header: map[string]string{}}
+	return request{path: "/v1/chat/completions", body: string(body), bearer: rideKey, header: map[string]string{}}
 }
 
-func booking(key string) ask {
-	return ask{path: "/v1/services/booking/chairs", body: `{"chair":3}`, bearer: clinicKey, header: map[string]string{"Idempotency-Key": key}}
+func bookingRequest(key string) request {
+	return request{path: "/v1/services/booking/chairs", body: `{"chair":3}`, bearer: clinicKey, header: map[string]string{"Idempotency-Key": key}}
 }
 
-func (a ask) with(name, value string) ask {
+func (a request) withHeader(name, value string) request {
 	h := map[string]string{name: value}
 	for k, v := range a.header {
 		if k != name {
@@ -577,7 +577,7 @@
 }
 
 // gather runs n functions at once and waits for all.
-func gather(n int, each func(i int)) {
+func runConcurrently(n int, each func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { each(i) })
