--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -95,11 +95,11 @@
 			var took []time.Duration
 			from = b.usage()
 			for i := range changes {
-				began := time.Now()
+				start := time.Now()
 				version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "changing", Model: &catalog.Model{Bytes: int64(run*changes + i + 1), Version: "1"}})
 				b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == n })
-				took = append(took, time.Since(began))
-				<-time.After(time.Until(began.Add(300 * time.Millisecond)))
+				took = append(took, time.Since(start))
+				<-time.After(time.Until(start.Add(300 * time.Millisecond)))
 			}
 			to = b.usage()
 			b.logNodeUsage(t, fmt.Sprintf("3 changes/s, run %d", run+1), from, to)
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -111,10 +111,10 @@
 			all = append(all, accepted{stored.Version, stored.Model.Bytes, name})
 			mu.Unlock()
 			if i%10 == 0 {
-				began := time.Now()
+				start := time.Now()
 				b.eventually("in force everywhere", func() bool { f := b.rolloutStatus(stored.Version); return f.Nodes == 9 && f.Have == 9 })
 				mu.Lock()
-				inForceIn = append(inForceIn, time.Since(began))
+				inForceIn = append(inForceIn, time.Since(start))
 				mu.Unlock()
 			}
 		}
@@ -191,10 +191,10 @@
 	is.Equal(stored.Version, have.Version+1) // made once
 
 	b.kvFaults(standin.KVFaults{Down: true})
-	began := time.Now()
+	start := time.Now()
 	status, _ = b.putResource(0, model(5), stored.Version, "five")
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.True(time.Since(began) < 2*time.Second) // refused at once
+	is.True(time.Since(start) < 2*time.Second) // refused at once
 }
 
 // A node that is cut off from the key-value service, or starts while that is
@@ -204,11 +204,11 @@
 	o := options{nodes: 4, domains: 2, engines: 2, services: 1, modelServers: 0}
 	b := newTestbed(t, o)
 	b.nodes[3].kvLink.disconnect()
-	began := time.Now()
+	start := time.Now()
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "late", Model: &catalog.Model{Bytes: 1, Version: "1"}})
 	b.eventually("in force on the cut-off node too", func() bool { return b.rolloutStatus(version).Have == 4 })
-	t.Logf("in force on a node cut off from the key-value service after %d ms", time.Since(began).Milliseconds())
-	is.True(time.Since(began) < 5*time.Second)
+	t.Logf("in force on a node cut off from the key-value service after %d ms", time.Since(start).Milliseconds())
+	is.True(time.Since(start) < 5*time.Second)
 	s := b.state(b.nodes[3])
 	is.Equal(s.RevisionSource, "peer")
 
@@ -385,10 +385,10 @@
 	b.eventually("ready before the start", func() bool { return b.eventStatus("rides").Phase == event.Ready })
 	b.eventually("in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
-	began := time.Now()
+	start := time.Now()
 	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
 	b.eventually("degraded", func() bool { return b.eventStatus("rides").Phase == event.Degraded })
-	told := time.Since(began)
+	told := time.Since(start)
 	b.eventually("the reason names the refusal", func() bool {
 		return strings.Contains(strings.Join(b.eventStatus("rides").Reasons, " "), "refuses")
 	})
@@ -398,6 +398,6 @@
 	}
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-b"}})
 	b.eventually("recovered by itself, in other domains", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", told.Milliseconds(), time.Since(began).Milliseconds(), b.cloudCost())
+	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", told.Milliseconds(), time.Since(start).Milliseconds(), b.cloudCost())
 	is.True(told < 3*time.Second)
 }
--- a/test/end_to_end_test.go
+++ b/test/end_to_end_test.go
@@ -193,19 +193,19 @@
 	n := b.nodes[0]
 	const streams = 20
 	want := b.nodes[1].send(chatRequest("Notes for rider 0.", 150, true))
-	begun := make(chan int, streams*200)
+	started := make(chan int, streams*200)
 	results := make([]response, streams)
 	done := make(chan struct{})
 	go func() {
 		runConcurrently(streams, func(i int) {
 			a := chatRequest(fmt.Sprintf("Notes for rider %d.", i), 150, true)
-			a.tokenIDs = begun
+			a.tokenIDs = started
 			results[i] = n.send(a)
 		})
 		close(done)
 	}()
 	for range streams {
-		<-begun
+		<-started
 	}
 	n.signal(syscall.SIGTERM)
 	b.eventually("endpoints drop the node", func() bool {
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -15,7 +15,7 @@
 	"github.com/crankridge/crankridge/platform/fake"
 )
 
-// runsOf counts the runs of a request at a server.
+// runCount returns how often a server ran a request.
 func runCount(s *fake.Server, id string) int {
 	count := 0
 	for _, run := range s.Runs() {
@@ -40,12 +40,12 @@
 	run := s.Runs()[len(s.Runs())-1]
 	is.Equal(run.Path, "/once/a%2Fb?x=1&y=%20")
 	is.Equal(run.Body, "bytes")
-	is.Equal(run.Customer, testCustomer) // not what the client said
-	is.Equal(run.Key, "")                // the key stays here
-	left := 0
-	_, err := fmt.Sscan(run.Deadline, &left)
+	is.Equal(run.Customer, testCustomer) // not the client's own Tenant header
+	is.Equal(run.Key, "")                // the API key is not forwarded
+	deadline := 0
+	_, err := fmt.Sscan(run.Deadline, &deadline)
 	is.NoErr(err)
-	is.True(left <= 700 && left > 500)
+	is.True(deadline <= 700 && deadline > 500)
 }
 
 func TestGatewayRefusesBadInput(t *testing.T) {
@@ -61,7 +61,7 @@
 	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: ""}), http.StatusBadRequest)
 	is.Equal(status(gatewayRequest{method: "POST", path: "/once/", id: "a", body: strings.Repeat("x", 10001)}), http.StatusRequestEntityTooLarge)
 	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: "a", header: map[string]string{"Filler": strings.Repeat("x", 5000)}}), http.StatusRequestHeaderFieldsTooLarge)
-	is.Equal(len(s.Runs()), before) // nothing ran
+	is.Equal(len(s.Runs()), before)
 }
 
 func TestGatewayDoesNotRunTruncatedRequest(t *testing.T) {
@@ -86,17 +86,17 @@
 	first, second := b.addServer("i-1"), b.addServer("i-2")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	for _, manner := range []fake.Behavior{fake.Full, fake.WrongServer} {
-		first.SetBehavior(manner)
+	for _, behavior := range []fake.Behavior{fake.Full, fake.WrongServer} {
+		first.SetBehavior(behavior)
 		for i := range 6 {
-			id := fmt.Sprintf("%s-%d", manner, i)
+			id := fmt.Sprintf("%s-%d", behavior, i)
 			is.Equal(n.send(gatewayRequest{method: "POST", path: "/once/x", id: id, body: "b"}).status, http.StatusOK)
 			is.Equal(runCount(second, id), 1)
 		}
 	}
 	second.SetBehavior(fake.Full)
 	got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: "full", body: "b"})
-	is.Equal(got.status, http.StatusServiceUnavailable) // nobody ran it, and it may come back
+	is.Equal(got.status, http.StatusServiceUnavailable) // no server ran it, so the client may retry
 	is.True(got.header.Get("Retry-After") != "")
 }
 
@@ -110,7 +110,7 @@
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	for i := range 30 {
-		// No byte reached a server before, so that this is no repeat.
+		// A failed connection attempt does not count as a retry.
 		got := n.send(gatewayRequest{method: "POST", path: "/once/a", id: fmt.Sprintf("r%d", i), body: "x"})
 		b.is.Equal(got.status, http.StatusOK)
 	}
@@ -122,13 +122,13 @@
 	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.WrongRequestID} {
+	for _, behavior := range []fake.Behavior{fake.ConnectionReset, fake.WrongRequestID} {
 		for _, s := range servers {
-			s.SetBehavior(manner)
+			s.SetBehavior(behavior)
 		}
-		id := "once-" + string(manner)
+		id := "once-" + string(behavior)
 		got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: id, body: "b"})
-		is.Equal(got.status, http.StatusBadGateway) // no promise that it has not run
+		is.Equal(got.status, http.StatusBadGateway) // the request may have run, so not 503
 		is.Equal(got.header.Get("Server-Stamp"), "")
 		is.Equal(runCount(servers[0], id)+runCount(servers[1], id), 1)
 	}
@@ -140,17 +140,17 @@
 	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	for _, manner := range []fake.Behavior{fake.ConnectionReset, fake.Failing, fake.WrongRequestID} {
-		servers[0].SetBehavior(manner)
+	for _, behavior := range []fake.Behavior{fake.ConnectionReset, fake.Failing, fake.WrongRequestID} {
+		servers[0].SetBehavior(behavior)
 		for i := range 4 {
-			got := n.send(gatewayRequest{method: "GET", path: "/repeat/x", id: fmt.Sprintf("%s-%d", manner, i)})
+			got := n.send(gatewayRequest{method: "GET", path: "/repeat/x", id: fmt.Sprintf("%s-%d", behavior, i)})
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, "answer of i-2")
 		}
 	}
 	servers[1].SetBehavior(fake.Failing)
 	got := n.send(gatewayRequest{method: "GET", path: "/repeat/x", id: "both"})
-	is.Equal(got.status, http.StatusInternalServerError) // the servers' own answer, whole
+	is.Equal(got.status, http.StatusInternalServerError) // the server's own response, complete
 	is.True(got.header.Get("Server-Stamp") != "")
 	is.Equal(runCount(servers[0], "both")+runCount(servers[1], "both"), 2)
 }
@@ -165,7 +165,7 @@
 	got := n.send(gatewayRequest{method: "POST", path: "/once/x", id: "slow", body: "b"})
 	is.Equal(got.status, http.StatusGatewayTimeout)
 	is.True(got.duration >= 900*time.Millisecond && got.duration < 1400*time.Millisecond)
-	b.eventually("the server is told", func() bool { return s.ClientDisconnects() == 1 })
+	b.eventually("the server sees the disconnect", func() bool { return s.ClientDisconnects() == 1 })
 }
 
 const streamHeader = "a:10,b:20"
@@ -184,10 +184,10 @@
 func TestGatewayResumesStreamOnceInOrder(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	broken, sound := b.addServer("i-1"), b.addServer("i-2")
+	truncating, healthy := b.addServer("i-1"), b.addServer("i-2")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	broken.SetBehavior(fake.TruncatedStream)
+	truncating.SetBehavior(fake.TruncatedStream)
 	resumed := 0
 	for i := range 8 {
 		header := map[string]string{"Prompt-Prefix": fmt.Sprintf("a:10,b%d:20,c:30", i)}
@@ -200,7 +200,7 @@
 		is.Equal(got.body, want)
 		if got.header.Get("Server-Stamp") == "i-1" {
 			resumed++
-			is.Equal(sound.Runs()[len(sound.Runs())-1].LastEvent, "2")
+			is.Equal(healthy.Runs()[len(healthy.Runs())-1].LastEvent, "2")
 		}
 	}
 	is.True(resumed > 0)
@@ -226,7 +226,7 @@
 	b.waitServing(n, "p")
 	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "draining"))
 	time.Sleep(time.Second)
-	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "ready")) // what was seen leaving never comes back
+	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "ready")) // a server seen draining is not used again
 	time.Sleep(time.Second)
 	before := len(first.Runs())
 	for i := range 6 {
@@ -236,7 +236,7 @@
 	is.True(len(second.Runs()) >= 6)
 	b.config["Tenants"] = []any{map[string]any{"Name": "two", "ApiKeys": []string{"key-of-two"}}}
 	b.writeConfig()
-	b.eventually("the key is taken away", func() bool {
+	b.eventually("the key is revoked", func() bool {
 		return n.send(gatewayRequest{method: "GET", path: "/once/x", id: "k"}).status == http.StatusUnauthorized
 	})
 }
@@ -245,20 +245,20 @@
 	is := is.New(t)
 	b := newGatewayTestbed(t)
 	b.addServer("i-1")
-	sound := b.startNode(b.store.Address())
-	b.waitServing(sound, "p")
-	// The second node's store answers nothing but 503.
-	shut := fake.NewStore()
-	t.Cleanup(shut.Close)
-	shut.SetFaults(fake.Faults{Busy: true})
-	n := b.startNode(shut.Address(), sound.settings.Listen.Peers)
+	peer := b.startNode(b.store.Address())
+	b.waitServing(peer, "p")
+	// The second node's store rejects every call with 503.
+	busyStore := fake.NewStore()
+	t.Cleanup(busyStore.Close)
+	busyStore.SetFaults(fake.Faults{Busy: true})
+	n := b.startNode(busyStore.Address(), peer.settings.Listen.Peers)
 	b.waitServing(n, "q")
 	b.config["Tenants"] = []any{}
 	b.writeConfig()
 	b.eventually("the change arrives", func() bool {
 		return n.send(gatewayRequest{method: "GET", path: "/once/x", id: "k", header: map[string]string{"Authorization": "Bearer none"}}).status == http.StatusOK
 	})
-	for _, node := range []*gatewayNode{sound, n} {
+	for _, node := range []*gatewayNode{peer, n} {
 		var found struct{ Addresses []string }
 		b.eventually("both nodes are listed", func() bool {
 			resp, err := http.Get("http://" + node.settings.Listen.Directory + "/-/resolve?Name=" + testHost)
@@ -278,16 +278,16 @@
 	b.addServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	answers := make(chan gatewayResponse, 1)
+	responses := make(chan gatewayResponse, 1)
 	go func() {
-		answers <- n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+		responses <- n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
 	}()
 	time.Sleep(10 * time.Millisecond)
 	n.stop()
-	got := <-answers
+	got := <-responses
 	is.NoErr(got.err)
 	is.Equal(strings.Count(got.body, "data: piece-"), fake.StreamEvents)
-	b.eventually("not ready", func() bool {
+	b.eventually("the node is not ready", func() bool {
 		resp, err := http.Get("http://" + n.settings.Listen.Ready + "/-/readiness")
 		if err != nil {
 			return true
@@ -298,7 +298,7 @@
 	select {
 	case <-n.done:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the node did not end within its grace period")
+		t.Fatal("the node did not stop within its grace period")
 	}
 }
 
@@ -309,41 +309,41 @@
 	first := b.startNode(b.store.Address())
 	b.startNode(b.store.Address(), first.settings.Listen.Peers)
 	b.waitServing(first, "p")
-	asked := 0
+	served := 0
 	for round := range 8 {
 		b.store.SetFaults(fake.Faults{DropResponses: round%2 == 1})
 		for _, n := range b.nodes {
 			if n.send(gatewayRequest{method: "POST", path: "/once/x", id: fmt.Sprintf("u%d%s", round, n.settings.Node), body: "b"}).status == http.StatusOK {
-				asked++
+				served++
 			}
 		}
 		if round == 4 {
-			first.stop() // another node goes on with the duty
+			first.stop() // the other node takes over the duty
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
 	b.store.SetFaults(fake.Faults{})
 	reported := func() (total int) {
 		seen := map[float64]string{}
-		fences := int64(0)
+		highestToken := int64(0)
 		for _, call := range b.cloud.Calls() {
 			window := call.Body["Window"].(float64)
 			counts, _ := json.Marshal(call.Body["Counts"])
 			if old, ok := seen[window]; ok && old != string(counts) {
 				t.Fatalf("window %v was reported as %s and %s", window, old, counts)
 			}
-			if call.FencingToken < fences {
-				t.Fatalf("fence %d after %d", call.FencingToken, fences)
+			if call.FencingToken < highestToken {
+				t.Fatalf("fencing token %d after %d", call.FencingToken, highestToken)
 			}
-			seen[window], fences = string(counts), call.FencingToken
+			seen[window], highestToken = string(counts), call.FencingToken
 		}
 		for _, counts := range seen {
-			var of map[string]int
-			_ = json.Unmarshal([]byte(counts), &of)
-			total += of[testCustomer]
+			var byCustomer map[string]int
+			_ = json.Unmarshal([]byte(counts), &byCustomer)
+			total += byCustomer[testCustomer]
 		}
 		return total
 	}
-	b.eventually("all runs are reported", func() bool { return reported() >= asked })
-	is.True(asked > 8)
+	b.eventually("all runs are reported", func() bool { return reported() >= served })
+	is.True(served > 8)
 }
--- a/test/gateway_testbed_test.go
+++ b/test/gateway_testbed_test.go
@@ -19,7 +19,7 @@
 	"github.com/crankridge/crankridge/src/gateway"
 )
 
-// gatewayBench is a platform of stand-ins with gateway nodes in this process.
+// gatewayTestbed runs gateway nodes in the test process against a fake store and cloud.
 type gatewayTestbed struct {
 	t       *testing.T
 	is      *is.I
@@ -29,7 +29,7 @@
 	version int
 	config  map[string]any
 	retries string // settings of the retry budget
-	duties  string
+	duties  string // value of CloudApi.Duties
 }
 
 type gatewayNode struct {
@@ -70,14 +70,14 @@
 	}
 }
 
-// configure writes the operator's configuration as a new version.
+// writeConfig stores the operator's configuration under a new version.
 func (b *gatewayTestbed) writeConfig() {
 	b.version += 3
 	b.config["Version"] = b.version
 	b.store.Put("op/config", b.config)
 }
 
-// server starts a server of the service and lists it.
+// addServer starts a server of the service and stores its entry.
 func (b *gatewayTestbed) addServer(id string) *fake.Server {
 	s := fake.NewServer(id)
 	b.t.Cleanup(s.Close)
@@ -85,6 +85,7 @@
 	return s
 }
 
+// ephemeralAddr returns a loopback address with a free ephemeral port.
 func ephemeralAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,12 +95,12 @@
 	return l.Addr().String()
 }
 
-// start starts a node whose store is at the given address.
+// startNode starts a node that uses the store at the given address.
 func (b *gatewayTestbed) startNode(storeAddress string, seeds ...string) *gatewayNode {
 	return b.startNamedNode(fmt.Sprintf("node-%d", len(b.nodes)+1), true, storeAddress, seeds...)
 }
 
-// startAs starts a node of a name; first says that no node of the system ran before.
+// startNamedNode starts a node and waits until it is ready; first sets FirstStart.
 func (b *gatewayTestbed) startNamedNode(name string, first bool, storeAddress string, seeds ...string) *gatewayNode {
 	text := fmt.Sprintf("NodeName=%s\nZone=zone-1\nRegion=here\nFirstStart=%t\nSeedNodes=%s\n", name, first, strings.Join(seeds, ","))
 	for _, name := range []string{"Front", "Ready", "Control", "Directory"} {
@@ -132,24 +133,23 @@
 	return n
 }
 
-func (b *gatewayTestbed) eventually(what string, holds func() bool) {
+func (b *gatewayTestbed) eventually(what string, ok func() bool) {
 	b.t.Helper()
-	end := time.Now().Add(10 * time.Second)
-	for !holds() {
-		if time.Now().After(end) {
-			b.t.Fatalf("not in time: %s", what)
+	deadline := time.Now().Add(10 * time.Second)
+	for !ok() {
+		if time.Now().After(deadline) {
+			b.t.Fatalf("condition not met within 10 s: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// gatewayAsk is a request of a client.
 type gatewayRequest struct {
 	method, path, id, body string
 	header                 map[string]string
 }
 
-// gatewayAnswer is what a client got; err is set when the answer did not end.
+// gatewayResponse is what a client received; err is set if the response is incomplete.
 type gatewayResponse struct {
 	status   int
 	header   http.Header
@@ -167,16 +167,17 @@
 		req.Header.Set(name, value)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		return gatewayResponse{err: err, duration: time.Since(began)}
+		return gatewayResponse{err: err, duration: time.Since(start)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return gatewayResponse{resp.StatusCode, resp.Header, string(raw), err, time.Since(began)}
+	return gatewayResponse{resp.StatusCode, resp.Header, string(raw), err, time.Since(start)}
 }
 
+// waitServing waits until a node serves requests; id is the ID of the probe request.
 func (b *gatewayTestbed) waitServing(n *gatewayNode, id string) {
 	b.eventually("requests are served", func() bool {
 		return n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/probe", id: id}).status == http.StatusOK
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -81,15 +81,15 @@
 	const n = 2000
 	for run := range 3 {
 		idleIn, idleOut := traffic()
-		idleBegan := time.Now()
+		idleStart := time.Now()
 		<-time.After(3 * time.Second)
 		in, out := traffic()
-		perSecond := float64(in-idleIn+out-idleOut) / time.Since(idleBegan).Seconds()
+		perSecond := float64(in-idleIn+out-idleOut) / time.Since(idleStart).Seconds()
 		for _, claimed := range []bool{false, true} {
 			version := b.apply(catalog.Resource{Kind: catalog.KindService, Name: "booking", Service: &catalog.Service{Repeatable: !claimed}})
 			b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == 5 })
 			in0, out0 := traffic()
-			began := time.Now()
+			start := time.Now()
 			took := make([]time.Duration, n)
 			runConcurrently(4, func(w int) {
 				for i := w; i < n; i += 4 {
@@ -105,7 +105,7 @@
 				}
 			})
 			in1, out1 := traffic()
-			bytes := float64(in1-in0+out1-out0) - perSecond*time.Since(began).Seconds()
+			bytes := float64(in1-in0+out1-out0) - perSecond*time.Since(start).Seconds()
 			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantileMS(took, .5), quantileMS(took, .99), bytes/n)
 		}
 	}
@@ -193,7 +193,7 @@
 			b.createVia(0, newEvent("rides", time.Now().Add(4*time.Second), 4))
 			b.eventually("in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
 			before := b.cloudCost()
-			began := time.Now()
+			start := time.Now()
 			degraded := make(chan time.Duration, 1)
 			time.AfterFunc(5*time.Second, func() {
 				b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"all"}})
@@ -202,7 +202,7 @@
 			})
 			go func() {
 				bad := time.Duration(0)
-				for time.Since(began) < 24*time.Second {
+				for time.Since(start) < 24*time.Second {
 					if b.eventStatus("rides").Phase != event.InForce {
 						bad += 100 * time.Millisecond
 					}
@@ -212,7 +212,7 @@
 			}()
 			r := b.runLoad(b.callerAddrs(), "--rate", "55", "--prefixes", "20", "--prefix-len", "100", "--max-tokens", "40", "--duration", "24s")
 			after := b.cloudCost()
-			hours := time.Since(began).Hours()
+			hours := time.Since(start).Hours()
 			t.Logf("| %s | %.1f | %.1f%% | %.0f | %.0f | %d | %d | %.1f s |", v.name, (after.Price-before.Price)/hours, 100*r.Within, r.FirstP50, r.FirstP95, r.Refused, r.Broken, (<-degraded).Seconds())
 		})
 	}
@@ -229,11 +229,11 @@
 	}
 	for run := range 3 {
 		for _, c := range []struct{ rate, tokens string }{{"300", "1"}, {"60", "40"}, {"60", "100"}} {
-			from, began := cpu(), time.Now()
+			from, start := cpu(), time.Now()
 			r := b.runLoad(b.callerAddrs(), "--rate", c.rate, "--max-tokens", c.tokens, "--duration", "8s", "--prefix-len", "100", "--own-len", "5")
 			used := cpu() - from
 			t.Logf("run %d: %s requests/s of %s tokens: completed %d of %d, %.0f tokens/s; processor %.0f us a request, %.1f us a token at most; resident %d MB; lasted %.1f s",
-				run+1, c.rate, c.tokens, r.Completed, r.Sent, r.TokensPS, 1e6*used/float64(r.Completed), 1e6*used/(r.TokensPS*time.Since(began).Seconds()), residentMB(b.nodes[0].cmd.Process.Pid), time.Since(began).Seconds())
+				run+1, c.rate, c.tokens, r.Completed, r.Sent, r.TokensPS, 1e6*used/float64(r.Completed), 1e6*used/(r.TokensPS*time.Since(start).Seconds()), residentMB(b.nodes[0].cmd.Process.Pid), time.Since(start).Seconds())
 		}
 	}
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -27,12 +27,12 @@
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "routing: {overshoot: 1, report: 200ms}", extra: []catalog.Resource{event}})
 	const slots, low, tokens = 6, 12, 150 // twice what fits, 3 s and more each
 	want := b.nodes[0].send(chatRequest(longPrompt(0), tokens, true))
-	begun := make(chan int, low)
+	started := make(chan int, low)
 	var streams []response
 	done := make(chan struct{})
-	go func() { streams = b.sendStreams(low, tokens, begun); close(done) }()
+	go func() { streams = b.sendStreams(low, tokens, started); close(done) }()
 	for range slots {
-		<-begun
+		<-started
 	}
 	b.eventually("node 0 knows that all engines are full", func() bool {
 		full := 0
@@ -110,11 +110,11 @@
 	is := is.New(t)
 	limited := catalog.Resource{Kind: catalog.KindCustomer, Name: "limited", Customer: &catalog.Customer{KeySHA256: catalog.HashKey("limited-key"), Weight: 1, RequestsPS: 20}}
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", extra: []catalog.Resource{limited}})
-	began := time.Now()
+	start := time.Now()
 	const callers = 6
 	served := make([]int, callers)
 	runConcurrently(callers, func(i int) {
-		for time.Since(began) < 5*time.Second {
+		for time.Since(start) < 5*time.Second {
 			a := chatRequest("short", 1, false)
 			a.bearer = "limited-key"
 			if b.nodes[i%3].send(a).status == http.StatusOK {
@@ -126,7 +126,7 @@
 	for _, n := range served {
 		total += n
 	}
-	t.Logf("%d served in %s at a limit of 20/s", total, time.Since(began).Round(time.Millisecond))
+	t.Logf("%d served in %s at a limit of 20/s", total, time.Since(start).Round(time.Millisecond))
 	is.True(total >= 70 && total <= 150) // 100, with a second's burst at each node to begin with
 }
 
@@ -167,13 +167,13 @@
 	const n, tokens = 30, 200
 	want := make([]response, n)
 	runConcurrently(n, func(i int) { want[i] = b.nodes[1].send(chatRequest(longPrompt(i), tokens, true)) })
-	begun := make(chan int, n*tokens)
+	started := make(chan int, n*tokens)
 	got := make([]response, n)
 	done := make(chan struct{})
 	go func() {
 		runConcurrently(n, func(i int) {
 			a := chatRequest(longPrompt(i), tokens, true).withHeader("Idempotency-Key", fmt.Sprintf("lost-%d", i))
-			a.tokenIDs = begun
+			a.tokenIDs = started
 			got[i] = b.nodes[i%6].send(a)
 			for try := 1; !got[i].complete && try < 8; try++ {
 				<-time.After(100 * time.Millisecond)
@@ -186,7 +186,7 @@
 		close(done)
 	}()
 	for range n * 20 {
-		<-begun
+		<-started
 	}
 	for _, e := range b.engines {
 		if e.domain == "fd-b" {
@@ -197,7 +197,7 @@
 	b.nodes[4].signal(syscall.SIGKILL)
 	for range n*tokens - n*20 {
 		select {
-		case <-begun:
+		case <-started:
 		case <-done:
 		}
 	}
--- a/test/proc_test.go
+++ b/test/proc_test.go
@@ -15,7 +15,7 @@
 	statUserTime = 13 // index of utime in /proc/pid/stat, counted from 0
 )
 
-// residentMB is a process's resident memory.
+// residentMB returns a process's resident memory in MiB, or 0 if it is not running.
 func residentMB(pid int) int {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	fields := strings.Fields(string(raw))
@@ -26,7 +26,7 @@
 	return pages * pageBytes >> 20
 }
 
-// cpuSeconds is a process's processor time so far.
+// cpuSeconds returns the user and system CPU time a process has used.
 func cpuSeconds(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	rest := string(raw)
--- a/test/reclaim_test.go
+++ b/test/reclaim_test.go
@@ -43,7 +43,7 @@
 }
 
 // streams sends n streams over the nodes; begun is told of each first token.
-func (b *testbed) sendStreams(n, tokens int, begun chan<- int) []response {
+func (b *testbed) sendStreams(n, tokens int, started chan<- int) []response {
 	out := make([]response, n)
 	runConcurrently(n, func(i int) {
 		a := chatRequest(longPrompt(i), tokens, true)
@@ -51,8 +51,8 @@
 		a.tokenIDs = ids
 		go func() {
 			<-ids
-			if begun != nil {
-				begun <- i
+			if started != nil {
+				started <- i
 			}
 		}()
 		out[i] = b.nodes[i%len(b.nodes)].send(a)
@@ -85,12 +85,12 @@
 	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 24, services: 1, modelServers: 1, reclaimable: true,
 		engineShape: "step_ms: 12, prefill_tps: 20000, move_tps: 50000"})
 	const n, tokens = 96, 600 // 7 s or more each: longer than the notice
-	begun := make(chan int, n)
+	started := make(chan int, n)
 	var got []response
 	done := make(chan struct{})
-	go func() { got = b.sendStreams(n, tokens, begun); close(done) }()
+	go func() { got = b.sendStreams(n, tokens, started); close(done) }()
 	for range n {
-		<-begun
+		<-started
 	}
 	gone := b.reclaimDomain("fd-b", 5*time.Second)
 	<-done
@@ -141,7 +141,7 @@
 			is := is.New(t)
 			b := newTestbed(t, options{nodes: 5, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {report: 500ms}"})
 			e := b.engines[1]
-			began := time.Now()
+			start := time.Now()
 			c.sign(b, e)
 			b.eventually("every node avoids the engine", func() bool {
 				for _, n := range b.nodes {
@@ -153,7 +153,7 @@
 				}
 				return true
 			})
-			took := time.Since(began)
+			took := time.Since(start)
 			t.Logf("avoided on all nodes after %d ms", took.Milliseconds())
 			is.True(took < 3*time.Second)
 			if c.name == "a lost connection" {
--- a/test/regression_test.go
+++ b/test/regression_test.go
@@ -10,15 +10,15 @@
 	"github.com/crankridge/crankridge/platform/fake"
 )
 
-// Bounds of the users' pages.
+// Limits that the operators' documentation states.
 const (
-	catchUpTime  = 3 * time.Second // after trouble ends, a machine counts as in touch
+	catchUpTime  = 3 * time.Second // for a node to catch up after faults end
 	budgetRatio  = 0.2
 	budgetExtra  = 50.0
 	budgetWindow = 10 * time.Second
 )
 
-// versionOf is the version in force at a node.
+// configVersion returns the configuration version in force at a node, 0 if unknown.
 func configVersion(n *gatewayNode) int {
 	var state struct{ Version int }
 	resp, err := http.Get("http://" + n.settings.Listen.Peers + "/debug/state")
@@ -30,10 +30,10 @@
 	return state.Version
 }
 
-// Issue 19, CONFIG: all kept connections to the store fell silent, and a change went unseen for up to 8 s.
+// Stalled connections to the store must not delay a configuration change (issue 19, CONFIG).
 func TestChangeAppliesInTimeAfterStoreConnectionsStall(t *testing.T) {
 	b := newGatewayTestbed(t)
-	b.duties = "" // no other call to the store frees the watch's node of its silent connections
+	b.duties = "" // no other calls to the store, which would detect the stalled connections
 	var links []*link
 	for i := range 3 {
 		links = append(links, newStallableLink(t, fmt.Sprint("silent-store-", i), b.store.Address()))
@@ -48,18 +48,18 @@
 	for _, l := range links {
 		l.stallOpenConns()
 	}
-	silent := time.Now()
+	stalledAt := time.Now()
 	time.Sleep(100 * time.Millisecond)
 	b.writeConfig()
-	time.Sleep(time.Until(silent.Add(catchUpTime)))
+	time.Sleep(time.Until(stalledAt.Add(catchUpTime)))
 	for _, n := range b.nodes {
 		if got := configVersion(n); got != b.version {
-			t.Errorf("%s has version %d, not %d, %s after its connections fell silent", n.settings.Node, got, b.version, catchUpTime)
+			t.Errorf("%s has version %d, want %d, %s after its connections stalled", n.settings.Node, got, b.version, catchUpTime)
 		}
 	}
 }
 
-// Issue 19, CONFIG: an entry of another writer that could not be read hid the configuration beside it.
+// Unreadable entries from other writers must not hide the configuration (issue 19, CONFIG).
 func TestUnreadableEntriesDoNotHideConfiguration(t *testing.T) {
 	b := newGatewayTestbed(t)
 	b.addServer("i-1")
@@ -73,7 +73,7 @@
 	b.eventually("the change is in force", func() bool { return configVersion(n) == b.version })
 }
 
-// repeatsAt counts the arrivals at servers beyond the first of each request.
+// countRepeats counts the arrivals at servers beyond the first of each request.
 func countRepeats(servers []*fake.Server) (repeats int) {
 	seen := map[string]int{}
 	for _, s := range servers {
@@ -87,7 +87,7 @@
 	return repeats
 }
 
-// rejecting starts servers that reject all they are sent.
+// addRejectingServers starts servers that reject every request as full.
 func (b *gatewayTestbed) addRejectingServers(count int) []*fake.Server {
 	var servers []*fake.Server
 	for i := range count {
@@ -98,20 +98,20 @@
 	return servers
 }
 
-// askMany sends requests that servers reject.
+// sendMany sends retryable requests one after the other.
 func (b *gatewayTestbed) sendMany(n *gatewayNode, name string, count int) {
 	for i := range count {
 		n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/x", id: fmt.Sprintf("%s-%d", name, i)})
 	}
 }
 
-// Issue 19, BUDGET: a node that heard of no other took the whole allowance of all.
+// A node cut off from its peers must not use the whole retry budget (issue 19, BUDGET).
 func TestIsolatedNodeRetriesWithinItsShare(t *testing.T) {
 	const others, requests = 8, 40
 	b := newGatewayTestbed(t)
 	servers := b.addRejectingServers(4)
 	for i := range others {
-		// Stored, as nodes are, at an address where nobody answers.
+		// A stored peer whose address does not accept connections.
 		b.store.Put(fmt.Sprintf("crankridge/nodes/other-%d", i), map[string]any{"peers": ephemeralAddr(t), "failure_domain": "zone-2"})
 	}
 	n := b.startNode(b.store.Address())
@@ -123,32 +123,32 @@
 	b.sendMany(n, "r", requests)
 	share := budgetRatio*requests + budgetExtra/(others+1)
 	if got := countRepeats(servers) - before; float64(got) > share {
-		t.Errorf("%d repeats, its share is %.1f", got, share)
+		t.Errorf("%d repeats, share of the retry budget is %.1f", got, share)
 	}
 }
 
-// Issue 19, BUDGET: each life of a process began with a whole share, whatever the one before had used.
+// A restarted process must not start with a fresh retry budget (issue 19, BUDGET).
 func TestRestartedNodeRetriesWithinOneBudget(t *testing.T) {
-	const lives, requests = 4, 30
+	const starts, requests = 4, 30
 	b := newGatewayTestbed(t)
 	servers := b.addRejectingServers(4)
-	began := time.Now()
-	for life := range lives {
-		n := b.startNamedNode("node-1", life == 0, b.store.Address())
-		b.sendMany(n, fmt.Sprint("life-", life), requests)
+	start := time.Now()
+	for i := range starts {
+		n := b.startNamedNode("node-1", i == 0, b.store.Address())
+		b.sendMany(n, fmt.Sprint("life-", i), requests)
 		n.stop()
 		<-n.done
 	}
-	if took := time.Since(began); took > 10*time.Second {
-		t.Fatalf("the lives took %s, longer than a window: nothing is shown", took)
+	if took := time.Since(start); took > 10*time.Second {
+		t.Fatalf("inconclusive: the restarts took %s, longer than a budget window", took)
 	}
-	allowed := budgetRatio*lives*requests + budgetExtra
+	allowed := budgetRatio*starts*requests + budgetExtra
 	if got := countRepeats(servers); float64(got) > allowed {
-		t.Errorf("%d repeats in one window, allowed %.0f", got, allowed)
+		t.Errorf("%d repeats in one budget window, allowed %.0f", got, allowed)
 	}
 }
 
-// Issue 19: a request waited until its time limit for a server that had started again and knew nothing of it.
+// A request must not wait for a restarted server that has lost it (issue 19).
 func TestRequestGoesOnElsewhereWhenItsServerIsBornAgain(t *testing.T) {
 	b := newGatewayTestbed(t)
 	servers := []*fake.Server{b.addServer("i-0"), b.addServer("i-1")}
@@ -157,8 +157,8 @@
 	for _, s := range servers {
 		s.SetBehavior(fake.Unresponsive)
 	}
-	answers := make(chan gatewayResponse, 1)
-	go func() { answers <- n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/x", id: "waits"}) }()
+	responses := make(chan gatewayResponse, 1)
+	go func() { responses <- n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/x", id: "waits"}) }()
 	b.eventually("a server has the request", func() bool { return runCount(servers[0], "waits")+runCount(servers[1], "waits") == 1 })
 	first, other := servers[0], servers[1]
 	if runCount(other, "waits") == 1 {
@@ -168,8 +168,8 @@
 	entry := first.Entry("plain", "zone-1", "ready")
 	entry["born"] = time.Now().UnixMilli()
 	b.store.Put("servers/"+first.ID, entry)
-	answer := <-answers
-	b.is.Equal(answer.status, http.StatusOK)
-	b.is.Equal(answer.body, "answer of "+other.ID)
-	b.is.True(answer.duration < 900*time.Millisecond) // its time limit is a second
+	got := <-responses
+	b.is.Equal(got.status, http.StatusOK)
+	b.is.Equal(got.body, "answer of "+other.ID)
+	b.is.True(got.duration < 900*time.Millisecond) // the route's timeout is 1 s
 }
--- a/test/sighup_test.go
+++ b/test/sighup_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// TestHangupAtStart signals processes that have just begun.
+// A SIGHUP that arrives during startup must not terminate the process.
 func TestSIGHUPDuringStartup(t *testing.T) {
 	is := is.New(t)
 	for i := range 12 {
@@ -22,8 +22,8 @@
 		p.launch("crank-gateway")
 		time.Sleep(time.Duration(4+i) * time.Millisecond)
 		p.signal(syscall.SIGHUP)
-		ended := p.waitExit(300 * time.Millisecond)
+		exited := p.waitExit(300 * time.Millisecond)
 		p.kill()
-		is.True(!ended)
+		is.True(!exited)
 	}
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -250,11 +250,11 @@
 		{"store link", s.disruptStoreLink}, {"server link", s.disruptServerLink}, {"server manner", s.changeServerBehavior},
 		{"all full", s.rejectAll}, {"silence", s.stallConnections}, {"born again", s.restartServer}, {"foreign entry", s.putForeignEntry}, {"store", s.disruptStore}, {"configure", s.changeConfig}, {"cloud", s.stopCloud},
 	}
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
 		f := faults[s.intN(len(faults))]
 		s.mu.Lock()
-		s.faultLog += fmt.Sprintf("%6d ms %s\n", time.Since(began).Milliseconds(), f.name)
+		s.faultLog += fmt.Sprintf("%6d ms %s\n", time.Since(start).Milliseconds(), f.name)
 		s.mu.Unlock()
 		f.do()
 		time.Sleep(s.durationBetween(50*time.Millisecond, 400*time.Millisecond))
--- a/test/stall_test.go
+++ b/test/stall_test.go
@@ -9,14 +9,13 @@
 	"github.com/Shopify/toxiproxy/v2/toxics"
 )
 
-// silence is a toxic that lets bytes through until its link falls silent. Then
-// the connections that are open pass nothing any more, in either direction and
-// without a reset, while new ones work.
+// stallToxic is a toxic that drops all bytes of the connections open at a call of
+// stallOpenConns, in both directions and without a reset. Later connections work.
 type stallToxic struct {
 	Link string `json:"link"`
 }
 
-// silences holds, by link, the channel that closes when its open connections fall silent.
+// stallSignals maps a link's address to the channel whose closing stalls its open connections.
 var stallSignals = struct {
 	sync.Mutex
 	of map[string]chan struct{}
@@ -24,7 +23,7 @@
 
 func init() { toxics.Register("silence", new(stallToxic)) }
 
-// NewState keeps, for a connection, when it falls silent.
+// NewState returns the channel that signals the stall of a new connection.
 func (s *stallToxic) NewState() any {
 	stallSignals.Lock()
 	defer stallSignals.Unlock()
@@ -34,9 +33,9 @@
 	return stallSignals.of[s.Link]
 }
 
-// Pipe passes one connection's bytes on, or drops them.
+// Pipe forwards the bytes of one connection until it is stalled, then drops them.
 func (s *stallToxic) Pipe(stub *toxics.ToxicStub) {
-	silent := stub.State.(chan struct{})
+	stalled := stub.State.(chan struct{})
 	for {
 		select {
 		case <-stub.Interrupt:
@@ -47,7 +46,7 @@
 				return
 			}
 			select {
-			case <-silent:
+			case <-stalled:
 			default:
 				stub.Output <- chunk
 			}
@@ -55,7 +54,7 @@
 	}
 }
 
-// newSilentLink is a link whose open connections can be silenced for good.
+// newStallableLink returns a link that supports stallOpenConns.
 func newStallableLink(t *testing.T, name, upstream string) *link {
 	l := newLink(t, name, upstream)
 	for _, stream := range []string{"upstream", "downstream"} {
@@ -68,7 +67,7 @@
 	return l
 }
 
-// silenceOpen silences the connections that are open now, for good.
+// stallOpenConns permanently stalls the connections that are open now.
 func (l *link) stallOpenConns() {
 	stallSignals.Lock()
 	defer stallSignals.Unlock()
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -8,7 +8,8 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// readStream reads a streamed answer as a caller does.
+// readStream reads a streamed response until it ends or fails and sends the ID
+// of each token to tokens, if not nil.
 func (r *response) readStream(body io.Reader, tokens chan<- int) {
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
--- a/test/testbed_test.go
+++ b/test/testbed_test.go
@@ -1,5 +1,5 @@
-// Package test runs the real binaries behind a fault-injecting proxy and
-// checks the promises made to callers and operators.
+// Package test runs the built binaries behind fault-injecting proxies and
+// checks the guarantees given to callers and operators.
 package test
 
 import (
@@ -62,7 +62,7 @@
 	os.Exit(code)
 }
 
-// proc is one process.
+// proc is a child process; its output goes to a log file and it can be launched again.
 type proc struct {
 	t    *testing.T
 	name string
@@ -108,20 +108,20 @@
 	<-p.done
 }
 
-func (p *proc) waitExit(within time.Duration) bool {
+func (p *proc) waitExit(timeout time.Duration) bool {
 	select {
 	case <-p.done:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// options shape a bench; zero values take the defaults of newBench.
+// options configure a testbed. Zero values select the defaults of newTestbed.
 type options struct {
 	nodes        int
 	domains      int
-	engines      int // each of model climb
+	engines      int // all serve the model climb
 	services     int // servers of service booking
 	engineShape  string
 	ttl          string
@@ -132,12 +132,12 @@
 	reclaimable  bool
 	modelServers int
 	weightsRate  string
-	exchange     string // settings of the talk between nodes
-	direct       bool   // no proxies between the processes
+	exchange     string // settings of the state exchange between nodes
+	direct       bool   // connect nodes without proxies
 	extra        []catalog.Resource
 }
 
-// node is one crank-entry with the proxies before it and its KV link.
+// node is a crank-entry process with the proxies to its peer port and to the key-value service.
 type node struct {
 	*proc
 	name, domain              string
@@ -146,7 +146,7 @@
 	settings                  string
 }
 
-// bench is a running system with its fakes.
+// testbed is a running system with stand-ins for its upstreams and platform.
 type testbed struct {
 	t        *testing.T
 	dir      string
@@ -155,7 +155,7 @@
 	standins *proc
 	engines  []*engineProc
 	services []string
-	svcLinks []*link // between the nodes and each server of the service
+	svcLinks []*link // from the nodes to each server of the service
 	nodes    []*node
 	controls []string
 	ctlProcs []*proc
@@ -167,7 +167,7 @@
 	name, domain, addr string
 }
 
-// link is a proxy that can be cut and joined again.
+// link is a TCP proxy that can be disconnected and reconnected.
 type link struct {
 	proxy *toxiproxy.Proxy
 	addr  string
@@ -193,8 +193,8 @@
 	}
 }
 
-// Ports are taken below the range from which the system picks those of
-// outgoing connections, so that none is gone before its process listens.
+// Ports are allocated below the ephemeral range, so that no outgoing connection
+// takes one before its process listens.
 const (
 	firstPort = 10000
 	lastPort  = 32000
@@ -202,8 +202,8 @@
 
 var nextPort atomic.Int64
 
-// Each run begins elsewhere: two at once would take each other's ports between
-// the look and the use.
+// A random start keeps concurrent test runs from taking a port between the
+// check in freeAddr and its use.
 func init() { nextPort.Store(rand.Int64N(lastPort - firstPort)) }
 
 func freeAddr(t *testing.T) string {
@@ -240,7 +240,7 @@
 		}
 		return true
 	})
-	b.eventually("all nodes know all nodes and upstreams", func() bool {
+	b.eventually("all nodes list all nodes and upstreams", func() bool {
 		for _, n := range b.nodes {
 			s := b.state(n)
 			if len(s.Nodes) != o.nodes || len(s.Upstreams) < o.engines+o.services || s.PassiveShards > 0 {
@@ -265,7 +265,7 @@
 	}
 }
 
-// findRaces fails the test when a process built with RACE=1 reported a data race.
+// reportRaces fails the test if a process built with RACE=1 logged a data race.
 func (b *testbed) reportRaces() {
 	files, _ := filepath.Glob(filepath.Join(b.dir, "*.log"))
 	for _, f := range files {
@@ -297,9 +297,9 @@
 		name, addr := fmt.Sprintf("booking-%d", i), freeAddr(b.t)
 		b.start(name, "crank-standin", fmt.Sprintf("services:\n  - {name: %s, listen: %q}\n", name, addr))
 		b.services = append(b.services, addr)
-		reach := newLink(b.t, name, addr)
-		b.svcLinks = append(b.svcLinks, reach)
-		vm(name, domainName(i%o.domains), "service", "booking", reach.addr)
+		svcLink := newLink(b.t, name, addr)
+		b.svcLinks = append(b.svcLinks, svcLink)
+		vm(name, domainName(i%o.domains), "service", "booking", svcLink.addr)
 	}
 	for i := range o.nodes {
 		vm(nodeName(i), domainName(i%o.domains), "entry", "", "")
@@ -325,7 +325,7 @@
 planner: {round: 200ms, boot: 1s, margin: 1s, recheck: 1s%s}
 `, i, addr, kv.addr, b.cloud, token, o.control)))
 	}
-	b.eventually("crank-control answers", func() bool {
+	b.eventually("crank-control is ready", func() bool {
 		return getJSON("http://"+b.controls[0]+"/readyz", token, nil) == http.StatusOK
 	})
 }
@@ -378,15 +378,16 @@
 	}
 }
 
-// apply stores resources through the first control, creating or replacing.
+// apply creates or replaces resources through the first crank-control and
+// returns the version of the last one.
 func (b *testbed) apply(list ...catalog.Resource) int64 {
 	b.t.Helper()
 	last := int64(0)
 	for _, r := range list {
 		b.eventually("apply "+r.Name, func() bool {
-			var have catalog.Resource
-			_ = getJSON(b.resourceURL(0, r), token, &have)
-			status, stored := b.putResource(0, r, have.Version, "")
+			var current catalog.Resource
+			_ = getJSON(b.resourceURL(0, r), token, &current)
+			status, stored := b.putResource(0, r, current.Version, "")
 			last = stored.Version
 			return status == http.StatusOK
 		})
@@ -416,7 +417,8 @@
 	return resp.StatusCode, stored
 }
 
-// get reads a JSON document; into may be nil.
+// getJSON returns the HTTP status, or 0 if the request failed, and decodes an OK
+// response into into, which may be nil.
 func getJSON(url, bearer string, into any) int {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -435,7 +437,7 @@
 	return resp.StatusCode
 }
 
-// admin makes an admin call of a fake.
+// postAdmin calls the admin API of a stand-in.
 func (b *testbed) postAdmin(addr, path string, body any) {
 	b.t.Helper()
 	raw, _ := json.Marshal(body)
@@ -454,7 +456,7 @@
 	return s
 }
 
-// eventually waits for a condition, with a bound.
+// eventually polls a condition and fails the test after eventuallyTimeout.
 func (b *testbed) eventually(what string, ok func() bool) {
 	b.t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
@@ -462,19 +464,19 @@
 	defer tick.Stop()
 	for !ok() {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("not so within %s: %s", eventuallyTimeout, what)
+			b.t.Fatalf("condition not met within %s: %s", eventuallyTimeout, what)
 		}
 		<-tick.C
 	}
 }
 
-// runs adds up how often each key was run over all servers of the service.
+// runCounts returns how often each idempotency key was executed, over all servers of the service.
 func (b *testbed) runCounts() map[string]int {
 	out := map[string]int{}
 	for _, addr := range b.services {
-		one := map[string]int{}
-		_ = getJSON("http://"+addr+"/admin/runs", "", &one)
-		for k, n := range one {
+		counts := map[string]int{}
+		_ = getJSON("http://"+addr+"/admin/runs", "", &counts)
+		for k, n := range counts {
 			out[k] += n
 		}
 	}
@@ -482,49 +484,48 @@
 }
 
 func (b *testbed) rolloutStatus(version int64) operator.RolloutStatus {
-	var f operator.RolloutStatus
-	_ = getJSON(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &f)
-	return f
+	var status operator.RolloutStatus
+	_ = getJSON(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &status)
+	return status
 }
 
-// reply is what a caller saw.
+// response is what a caller received.
 type response struct {
 	status     int
 	outcome    string
 	key        string
 	retryAfter string
-	body       string   // of a whole answer or an error
-	tokens     []string // of a stream
+	body       string   // of a non-streamed response or an error
+	tokens     []string // content of each stream event
 	eventIDs   []int
-	complete   bool // the stream came to its end mark
+	complete   bool // the stream ended with [DONE]
 	err        error
 	duration   time.Duration
 	header     http.Header
 }
 
-// ask describes a request.
 type request struct {
 	path     string
 	body     string
 	bearer   string
 	header   map[string]string
-	tokenIDs chan<- int    // told the id of each token, when not nil
-	timeout  time.Duration // the caller gives up after it; callerLimit when 0
+	tokenIDs chan<- int    // receives the event ID of each token if not nil
+	timeout  time.Duration // callerTimeout if 0
 }
 
-// callerLimit ends every call, so that no test hangs on a frozen process.
+// callerTimeout keeps a test from hanging on a stopped process.
 const callerTimeout = 60 * time.Second
 
 var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// send makes a request of node n and reads its answer to the end.
+// send posts a request to node n and reads the response to its end.
 func (n *node) send(a request) response {
-	began := time.Now()
-	limit := a.timeout
-	if limit == 0 {
-		limit = callerTimeout
+	start := time.Now()
+	timeout := a.timeout
+	if timeout == 0 {
+		timeout = callerTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+a.path, strings.NewReader(a.body))
 	if err != nil {
@@ -536,7 +537,7 @@
 	}
 	resp, err := callerClient.Do(req)
 	if err != nil {
-		return response{err: err, duration: time.Since(began)}
+		return response{err: err, duration: time.Since(start)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	r := response{
@@ -549,7 +550,7 @@
 		raw, err := io.ReadAll(resp.Body)
 		r.body, r.err = string(raw), err
 	}
-	r.duration = time.Since(began)
+	r.duration = time.Since(start)
 	return r
 }
 
@@ -576,7 +577,7 @@
 	return a
 }
 
-// gather runs n functions at once and waits for all.
+// runConcurrently calls each for 0 to n-1 in n goroutines and waits for them.
 func runConcurrently(n int, each func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
