--- a/test/config_test.go
+++ b/test/config_test.go
@@ -21,8 +21,8 @@
 	"github.com/crankridge/crankridge/src/standin"
 )
 
-// monitor follows the versions in force on every node and complains when one
-// goes back.
+// versionMonitor polls the versions in force on every node and records each one
+// that decreases.
 type versionMonitor struct {
 	mu          sync.Mutex
 	seen        map[string]map[string]int64 // by node, then key
@@ -68,14 +68,14 @@
 	return m.regressions
 }
 
-// Four operators change the same resources while the key-value service goes
-// down, loses answers and serves stale reads. Every accepted change is in
-// force on all nodes; none is lost, none reverted, none made twice.
+// Four operators change the same resources while the key-value service is
+// unavailable, drops responses or serves stale reads. No accepted change may be
+// lost, reverted or made twice, and all come into force on all nodes.
 func TestRacingOperatorsDuringOutages(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 1, services: 1, modelServers: 0, controls: 2})
 	m := b.monitorVersions(b.nodes)
-	const writers, each = 4, 50
+	const writers, perWriter = 4, 50
 	type accepted struct {
 		version int64
 		bytes   int64
@@ -83,11 +83,11 @@
 	}
 	var mu sync.Mutex
 	var all []accepted
-	var inForceIn []time.Duration
+	var rolloutTimes []time.Duration
 	stopFaults := make(chan struct{})
-	faulted := make(chan struct{})
+	faultsStopped := make(chan struct{})
 	go func() {
-		defer close(faulted)
+		defer close(faultsStopped)
 		for i := 0; ; i++ {
 			f := []standin.KVFaults{{DropResponses: 3}, {Down: true}, {}, {DelayMS: 150}, {DropResponses: 2, StaleReads: true}, {}}[i%6]
 			b.kvFaults(f)
@@ -101,7 +101,7 @@
 	}()
 	runConcurrently(writers, func(w int) {
 		rng := rand.New(rand.NewPCG(uint64(w), 1))
-		for i := range each {
+		for i := range perWriter {
 			name := fmt.Sprintf("m%d", rng.IntN(5))
 			bytes := int64(w*1000 + i + 1)
 			r := catalog.Resource{Kind: catalog.KindModel, Name: name, Model: &catalog.Model{Bytes: bytes, Version: "1"}}
@@ -112,21 +112,21 @@
 			mu.Unlock()
 			if i%10 == 0 {
 				start := time.Now()
-				b.eventually("in force everywhere", func() bool { f := b.rolloutStatus(stored.Version); return f.Nodes == 9 && f.Have == 9 })
+				b.eventually("in force on all nodes", func() bool { s := b.rolloutStatus(stored.Version); return s.Nodes == 9 && s.Have == 9 })
 				mu.Lock()
-				inForceIn = append(inForceIn, time.Since(start))
+				rolloutTimes = append(rolloutTimes, time.Since(start))
 				mu.Unlock()
 			}
 		}
 	})
 	close(stopFaults)
-	<-faulted
-	is.Equal(len(all), writers*each)
+	<-faultsStopped
+	is.Equal(len(all), writers*perWriter)
 	last := map[string]int64{}
 	for _, a := range all {
 		last[a.name] = max(last[a.name], a.version)
 	}
-	b.eventually("all nodes hold the last accepted versions", func() bool {
+	b.eventually("all nodes have the last accepted versions", func() bool {
 		for _, n := range b.nodes {
 			v := b.state(n).Versions
 			for name, want := range last {
@@ -137,28 +137,28 @@
 		}
 		return true
 	})
-	is.Equal(m.finish(), nil) // no node ever went back
-	slices.Sort(inForceIn)
-	t.Logf("%d changes accepted; in force on 9 nodes during faults after p50 %d ms, max %d ms", len(all),
-		inForceIn[len(inForceIn)/2].Milliseconds(), inForceIn[len(inForceIn)-1].Milliseconds())
+	is.Equal(m.finish(), nil) // no version decreased on any node
+	slices.Sort(rolloutTimes)
+	t.Logf("%d changes accepted; time until in force on 9 nodes during faults: p50 %d ms, max %d ms", len(all),
+		rolloutTimes[len(rolloutTimes)/2].Milliseconds(), rolloutTimes[len(rolloutTimes)-1].Milliseconds())
 }
 
-// changeUntilAccepted is a careful operator: it reads, changes, and on a lost
-// answer sends the same change again.
-func (b *testbed) putUntilAccepted(at int, r catalog.Resource, change string) catalog.Resource {
+// putUntilAccepted reads and replaces a resource, and repeats the same change after
+// a lost response.
+func (b *testbed) putUntilAccepted(control int, r catalog.Resource, change string) catalog.Resource {
 	var stored catalog.Resource
 	version := int64(-1)
 	b.eventually("change "+change, func() bool {
 		if version < 0 {
-			var have catalog.Resource
-			if s := getJSON(b.resourceURL(at, r), token, &have); s != http.StatusOK && s != http.StatusNotFound {
+			var current catalog.Resource
+			if s := getJSON(b.resourceURL(control, r), token, &current); s != http.StatusOK && s != http.StatusNotFound {
 				return false
 			}
-			version = have.Version
+			version = current.Version
 		}
-		status, got := b.putResource(at, r, version, change)
+		status, got := b.putResource(control, r, version, change)
 		if status == http.StatusPreconditionFailed {
-			version = -1 // somebody else was first: read again
+			version = -1 // concurrent change: read again
 		}
 		stored = got
 		return status == http.StatusOK
@@ -166,7 +166,8 @@
 	return stored
 }
 
-// A second operator's change is refused, and says what stands there now.
+// A change based on an outdated version must be refused, and a repeated change must
+// be applied once.
 func TestConcurrentOperatorChangeIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, controls: 2})
@@ -174,31 +175,31 @@
 		return catalog.Resource{Kind: catalog.KindModel, Name: "m", Model: &catalog.Model{Bytes: bytes, Version: "1"}}
 	}
 	_, first := b.putResource(0, model(1), 0, "one")
-	status, again := b.putResource(1, model(1), 0, "one") // the same change, its answer lost, at another process
+	status, repeated := b.putResource(1, model(1), 0, "one") // the same change ID through another process, as after a lost response
 	is.Equal(status, http.StatusOK)
-	is.Equal(again.Version, first.Version)
+	is.Equal(repeated.Version, first.Version)
 	status, _ = b.putResource(0, model(2), first.Version, "two")
 	is.Equal(status, http.StatusOK)
 	status, _ = b.putResource(1, model(3), first.Version, "three")
 	is.Equal(status, http.StatusPreconditionFailed)
 
 	b.kvFaults(standin.KVFaults{DropResponses: 1})
-	var have catalog.Resource
-	getJSON(b.resourceURL(0, model(0)), token, &have)
-	status, stored := b.putResource(0, model(4), have.Version, "four") // its answer is lost between the store and the API
+	var current catalog.Resource
+	getJSON(b.resourceURL(0, model(0)), token, &current)
+	status, stored := b.putResource(0, model(4), current.Version, "four") // the store's response is lost
 	is.Equal(status, http.StatusOK)
 	is.Equal(stored.Model.Bytes, int64(4))
-	is.Equal(stored.Version, have.Version+1) // made once
+	is.Equal(stored.Version, current.Version+1) // applied once
 
 	b.kvFaults(standin.KVFaults{Down: true})
 	start := time.Now()
 	status, _ = b.putResource(0, model(5), stored.Version, "five")
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.True(time.Since(start) < 2*time.Second) // refused at once
+	is.True(time.Since(start) < 2*time.Second) // refused without waiting for timeouts
 }
 
-// A node that is cut off from the key-value service, or starts while that is
-// down, has the newest its peers have; deletions included.
+// A node that is disconnected from the key-value service, or starts during its
+// outage, must get changes and deletions from its peers.
 func TestNodeCutOffFromKeyValueService(t *testing.T) {
 	is := is.New(t)
 	o := options{nodes: 4, domains: 2, engines: 2, services: 1, modelServers: 0}
@@ -206,8 +207,8 @@
 	b.nodes[3].kvLink.disconnect()
 	start := time.Now()
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "late", Model: &catalog.Model{Bytes: 1, Version: "1"}})
-	b.eventually("in force on the cut-off node too", func() bool { return b.rolloutStatus(version).Have == 4 })
-	t.Logf("in force on a node cut off from the key-value service after %d ms", time.Since(start).Milliseconds())
+	b.eventually("in force on the disconnected node", func() bool { return b.rolloutStatus(version).Have == 4 })
+	t.Logf("in force on a node disconnected from the key-value service after %d ms", time.Since(start).Milliseconds())
 	is.True(time.Since(start) < 5*time.Second)
 	s := b.state(b.nodes[3])
 	is.Equal(s.RevisionSource, "peer")
@@ -218,21 +219,23 @@
 	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, http.StatusOK)
-	b.eventually("gone on the cut-off node", func() bool { _, ok := b.state(b.nodes[3]).Versions["crankridge/config/model/late"]; return !ok })
+	b.eventually("deleted on the disconnected node", func() bool { _, ok := b.state(b.nodes[3]).Versions["crankridge/config/model/late"]; return !ok })
 
 	b.kvFaults(standin.KVFaults{Down: true})
-	late := b.addNode(o, 4)
+	added := b.addNode(o, 4)
 	b.eventually("a node started during the outage is ready", func() bool {
-		return getJSON("http://"+late.callers+"/readyz", "", nil) == http.StatusOK
+		return getJSON("http://"+added.callers+"/readyz", "", nil) == http.StatusOK
 	})
-	is.Equal(b.state(late).RevisionSource, "peer")
-	is.Equal(late.send(chatRequest("hello", 3, false)).status, http.StatusOK)
-	is.Equal(late.send(bookingRequest("late")).status, http.StatusOK)
+	is.Equal(b.state(added).RevisionSource, "peer")
+	is.Equal(added.send(chatRequest("hello", 3, false)).status, http.StatusOK)
+	is.Equal(added.send(bookingRequest("late")).status, http.StatusOK)
 	for _, n := range b.nodes[:4] {
-		is.Equal(len(b.state(n).Nodes), 4) // the outage removed nobody
+		is.Equal(len(b.state(n).Nodes), 4) // the outage removed no node
 	}
 }
 
+// A watch must deliver every change in order, and must be refused if it starts
+// before the first revision the process knows.
 func TestWatchHasNoGap(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, controls: 2})
@@ -254,10 +257,10 @@
 	is.Equal(got, want)
 	b.ctlProcs[1].kill()
 	b.ctlProcs[1].launch("crank-control")
-	b.eventually("the process is back", func() bool { return b.completeRevision() > 0 })
+	b.eventually("crank-control has restarted", func() bool { return b.completeRevision() > 0 })
 	old, err := http.DefaultClient.Do(b.watchRequest(1, 0))
 	is.NoErr(err)
-	is.Equal(old.StatusCode, http.StatusGone) // older than what the new process has seen
+	is.Equal(old.StatusCode, http.StatusGone) // from is older than the new process's history
 	_ = old.Body.Close()
 }
 
@@ -316,29 +319,30 @@
 	}}
 }
 
-// The planner's holder is frozen past its lease and another takes over. When
-// the first thaws, nothing it still tries takes effect, and no VM is bought twice.
+// A planner that was paused past its lease must have no effect after it resumes,
+// and no VM may be bought twice.
 func TestPlannerFrozenPastItsLease(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
-	b.eventually("the planner has bought what is needed", func() bool { return b.cloudCost().Running >= 3+3 })
-	holder := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
-	old := b.controlState(holder).Epoch
-	b.ctlProcs[holder].signal(syscall.SIGSTOP)
-	b.eventually("the other takes over", func() bool { s := b.controlState(1 - holder); return s.Leading && s.Epoch > old })
-	b.createVia(1-holder, newEvent("rides", time.Now().Add(5*time.Second), 3))
-	b.ctlProcs[holder].signal(syscall.SIGCONT)
+	b.eventually("the planner has bought the required VMs", func() bool { return b.cloudCost().Running >= 3+3 })
+	leader := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
+	oldEpoch := b.controlState(leader).Epoch
+	b.ctlProcs[leader].signal(syscall.SIGSTOP)
+	b.eventually("the other crank-control leads", func() bool { s := b.controlState(1 - leader); return s.Leading && s.Epoch > oldEpoch })
+	b.createVia(1-leader, newEvent("rides", time.Now().Add(5*time.Second), 3))
+	b.ctlProcs[leader].signal(syscall.SIGCONT)
 	b.eventually("the event is ready or in force", func() bool {
 		p := b.eventStatus("rides").Phase
 		return p == event.Ready || p == event.InForce
 	})
-	is.True(!b.controlState(holder).Leading)
-	// 5 servers must be left of climb: 3 domains with 3, 3 and 2 of them.
-	living := b.cloudCost().Running - 3
-	is.Equal(living, 8)
-	is.Equal(b.cloudCost().Bought, living) // none bought beyond, none given back
+	is.True(!b.controlState(leader).Leading)
+	// climb needs 5 servers after the loss of a domain: 3 + 3 + 2 in 3 domains.
+	running := b.cloudCost().Running - 3
+	is.Equal(running, 8)
+	is.Equal(b.cloudCost().Bought, running) // none bought in excess, none released
 }
 
+// createVia creates a resource through the given crank-control.
 func (b *testbed) createVia(control int, r catalog.Resource) {
 	b.eventually("apply "+r.Name, func() bool {
 		status, _ := b.putResource(control, r, 0, "")
@@ -346,27 +350,27 @@
 	})
 }
 
-// Killed at any moment between buying and announcing, a planner leaves
-// nothing behind: the next makes do with what was bought.
+// A planner killed at any step between buying and announcing must leave no
+// orphaned VM; the next planner uses what was bought.
 func TestPlannerKilledAtEveryStep(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 0, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{DropResponses: 4, LagMS: 700})
 	b.createVia(0, newEvent("rides", time.Now().Add(time.Second), 4))
 	for i := range 6 {
-		at := i % 2
-		b.eventually("a planner leads", func() bool { return b.controlState(at).Leading || b.controlState(1-at).Leading })
+		first := i % 2
+		b.eventually("a planner leads", func() bool { return b.controlState(first).Leading || b.controlState(1-first).Leading })
 		victim := 0
 		if b.controlState(1).Leading {
 			victim = 1
 		}
-		<-time.After(time.Duration(60+i*70) * time.Millisecond) // another step each time
+		<-time.After(time.Duration(60+i*70) * time.Millisecond) // a different step each time
 		b.ctlProcs[victim].kill()
 		b.ctlProcs[victim].launch("crank-control")
 	}
 	b.eventually("the event is in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{})
-	b.eventually("the cloud has what the plan holds, and no more", func() bool {
+	b.eventually("the cloud runs exactly the planned VMs", func() bool {
 		leader := b.controlState(0)
 		if !leader.Leading {
 			leader = b.controlState(1)
@@ -376,8 +380,8 @@
 	is.Equal(b.cloudCost().Running, 9)
 }
 
-// A failure domain is taken back as the event starts and replacements are
-// refused for a while.
+// A failure domain is reclaimed as an event starts while replacements are refused:
+// the event is reported as degraded and recovers in other domains.
 func TestReclaimWaveAsEventStarts(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, services: 0, modelServers: 0, controls: 1, offers: vmOffers, control: ", most_servers: 50"})
@@ -388,16 +392,16 @@
 	start := time.Now()
 	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: "fd-b", Role: "engine", NoticeMS: 500})
 	b.eventually("degraded", func() bool { return b.eventStatus("rides").Phase == event.Degraded })
-	told := time.Since(start)
+	detected := time.Since(start)
 	b.eventually("the reason names the refusal", func() bool {
 		return strings.Contains(strings.Join(b.eventStatus("rides").Reasons, " "), "refuses")
 	})
-	served := b.sendStreams(30, 10, nil)
-	for _, r := range served {
-		is.True(r.complete) // what is left serves the event's customers
+	responses := b.sendStreams(30, 10, nil)
+	for _, r := range responses {
+		is.True(r.complete) // the remaining domains serve the event's customers
 	}
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-b"}})
-	b.eventually("recovered by itself, in other domains", func() bool { return b.eventStatus("rides").Phase == event.InForce })
-	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", told.Milliseconds(), time.Since(start).Milliseconds(), b.cloudCost())
-	is.True(told < 3*time.Second)
+	b.eventually("recovered in other domains", func() bool { return b.eventStatus("rides").Phase == event.InForce })
+	t.Logf("degraded after %d ms, recovered %d ms after the wave, cost so far %+v", detected.Milliseconds(), time.Since(start).Milliseconds(), b.cloudCost())
+	is.True(detected < 3*time.Second)
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -20,28 +20,28 @@
 	"github.com/crankridge/crankridge/platform/fake"
 )
 
-// The soak runs gateways as processes of their own against stand-ins of the
-// platform, behind proxies, and brings faults upon them in series that
-// overlap. CI plays soakSeedsCI; SOAK_SEEDS and SOAK_SECONDS play more by hand.
+// The soak test runs gateway processes against a fake platform behind proxies
+// and injects overlapping faults. It runs the regressions and soakSeedsCI pairs
+// of random seeds for soakSeconds each; SOAK_SEEDS and SOAK_SECONDS override both.
 const (
 	soakNodes           = 4
-	soakLargeNodes      = 20 // nodes of every fifth seed: more than exchange with all others
+	soakLargeNodes      = 20 // node count of every fifth seed, too many for a full mesh of exchanges
 	soakDomains         = 2
 	soakServers         = 4
 	soakClients         = 8
 	soakSeconds         = 6
 	soakSeedsCI         = 1
-	soakRecoveryTimeout = 8 * time.Second        // in which all nodes serve again after the faults
-	soakChangeDelay     = 800 * time.Millisecond // after the faults, before a last change
-	soakRetryRatio      = 0.02                   // of the retry budget: small, so that its parts beyond the ratio show
+	soakRecoveryTimeout = 8 * time.Second        // for all nodes to serve again after the faults end
+	soakChangeDelay     = 800 * time.Millisecond // from the end of the faults to a last configuration change
+	soakRetryRatio      = 0.02                   // of the retry budget; small, so that overruns of ExtraRetries show
 	soakExtraRetries    = 20.0
-	soakTimingMargin    = 300 * time.Millisecond // for the machine that plays
+	soakTimingMargin    = 300 * time.Millisecond // for scheduling delays of the test machine
 )
 
-// soakRegressions are the seeds that ever failed, each with its cause.
+// soakRegressions are seeds that have failed, each with the cause.
 var soakRegressions = []uint64{
-	13071504994975122669, // a hangup ended a process that had just begun: package hangup
-	// Two runs of all tests at once took each other's ports (bind: address already in use).
+	13071504994975122669, // SIGHUP during startup terminated the process
+	// Concurrent test runs took each other's ports (bind: address already in use).
 	13141368818159869680,
 	7519613443594826010,
 }
@@ -53,15 +53,15 @@
 	rngMu     sync.Mutex
 	procs     []*soakProc
 	servers   []*fake.Server
-	links     []*link // to the servers
+	links     []*link // to the servers, by the same index
 	mu        sync.Mutex
 	responses []soakResponse
 	failures  []string
-	faultLog  string // the faults so far, for a failure's report
+	faultLog  string // faults injected so far, for the failure report
 }
 
 type soakProc struct {
-	mu       sync.Mutex // held by whoever does something to the process
+	mu       sync.Mutex // held while a fault acts on the process
 	proc     *proc
 	store    *link
 	settings string
@@ -141,7 +141,7 @@
 	}
 }
 
-// nodesOf is how many nodes a seed plays with; CI plays both sizes.
+// nodeCount returns the number of nodes for a seed. TestSoak runs both sizes.
 func nodeCount(seed uint64) int {
 	if seed%5 == 0 {
 		return soakLargeNodes
@@ -174,7 +174,7 @@
 	s.registerServer(len(s.servers) - 1)
 }
 
-// list stores a server's entry as the server writes it, with its link's address.
+// registerServer stores a server's own entry, with its link's address.
 func (s *soak) registerServer(server int) {
 	entry := s.servers[server].Entry("plain", "zone-1", "ready")
 	entry["Address"] = s.links[server].addr
@@ -198,9 +198,9 @@
 	s.procs = append(s.procs, p)
 }
 
-func (s *soak) waitReady(p *soakProc, within time.Duration) bool {
-	end := time.Now().Add(within)
-	for time.Now().Before(end) {
+func (s *soak) waitReady(p *soakProc, timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) {
 		if resp, err := http.Get("http://" + p.ready + "/-/readiness"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -212,43 +212,43 @@
 	return false
 }
 
-// client sends requests of every kind to any node, one after the other.
+// runClient sends requests of random kinds to random nodes, one after the other.
 func (s *soak) runClient(ctx context.Context, number int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		p := s.procs[s.intN(len(s.procs))]
-		a := gatewayRequest{method: http.MethodPost, id: fmt.Sprintf("c%d-%d", number, n), body: "body"}
-		answer := soakResponse{id: a.id, at: time.Now()}
+		req := gatewayRequest{method: http.MethodPost, id: fmt.Sprintf("c%d-%d", number, n), body: "body"}
+		resp := soakResponse{id: req.id, at: time.Now()}
 		switch s.intN(4) {
 		case 0:
-			a.path, answer.atMostOnce = "/once/x", true
+			req.path, resp.atMostOnce = "/once/x", true
 		case 1:
-			a.method, a.path, a.body = http.MethodGet, "/repeat/x", ""
+			req.method, req.path, req.body = http.MethodGet, "/repeat/x", ""
 		case 2:
-			a.path, answer.atMostOnce, answer.stream = "/stream/x", true, true
+			req.path, resp.atMostOnce, resp.stream = "/stream/x", true, true
 		default:
-			a.path, answer.stream = "/resume/x", true
+			req.path, resp.stream = "/resume/x", true
 		}
-		if answer.stream {
-			a.header = map[string]string{"Prompt-Prefix": fmt.Sprintf("a:10,b%d:20,c:30", s.intN(8))}
+		if resp.stream {
+			req.header = map[string]string{"Prompt-Prefix": fmt.Sprintf("a:10,b%d:20,c:30", s.intN(8))}
 		}
 		node := &gatewayNode{}
 		node.settings.Listen.Callers = p.front
-		answer.gatewayResponse = node.send(a)
+		resp.gatewayResponse = node.send(req)
 		s.mu.Lock()
-		s.responses = append(s.responses, answer)
+		s.responses = append(s.responses, resp)
 		s.mu.Unlock()
 	}
 }
 
-// trouble brings one fault after the other until ctx ends.
+// injectFaults injects one random fault after the other until ctx ends.
 func (s *soak) injectFaults(ctx context.Context) {
 	faults := []struct {
 		name string
 		do   func()
 	}{
 		{"kill", s.killNode}, {"stop", s.stopNode}, {"pause", s.pauseNode}, {"hangup", s.reloadNode},
-		{"store link", s.disruptStoreLink}, {"server link", s.disruptServerLink}, {"server manner", s.changeServerBehavior},
-		{"all full", s.rejectAll}, {"silence", s.stallConnections}, {"born again", s.restartServer}, {"foreign entry", s.putForeignEntry}, {"store", s.disruptStore}, {"configure", s.changeConfig}, {"cloud", s.stopCloud},
+		{"store link", s.disruptStoreLink}, {"server link", s.disruptServerLink}, {"server behavior", s.changeServerBehavior},
+		{"all servers full", s.rejectAll}, {"silence", s.stallConnections}, {"server restart", s.restartServer}, {"foreign entry", s.putForeignEntry}, {"store", s.disruptStore}, {"configure", s.changeConfig}, {"cloud", s.stopCloud},
 	}
 	start := time.Now()
 	for ctx.Err() == nil {
@@ -278,7 +278,7 @@
 	defer p.mu.Unlock()
 	p.proc.signal(syscall.SIGTERM)
 	if !p.proc.waitExit(3500 * time.Millisecond) {
-		s.addFailure("%s did not end within its grace period", p.proc.name)
+		s.addFailure("%s did not stop within its grace period", p.proc.name)
 		p.proc.kill()
 	}
 	p.proc.launch("crank-gateway")
@@ -300,17 +300,17 @@
 	p.proc.signal(syscall.SIGHUP)
 }
 
-// disturb delays, silences (both ways or one) or resets a link for a while.
+// disruptLink delays, resets or blocks one direction of a link for a while.
 func (s *soak) disruptLink(l *link) {
-	kinds := []string{
+	toxics := []string{
 		`{"name":"t","type":"latency","stream":"downstream","attributes":{"latency":300}}`,
 		`{"name":"t","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`,
 		`{"name":"t","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`,
 		`{"name":"t","type":"reset_peer","stream":"downstream","attributes":{"timeout":20}}`,
 	}
-	toxic, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(kinds[s.intN(len(kinds))]))
+	toxic, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(toxics[s.intN(len(toxics))]))
 	if err != nil {
-		return // another fault has this link
+		return // the link has a toxic already
 	}
 	time.Sleep(s.durationBetween(200*time.Millisecond, 2500*time.Millisecond))
 	_ = l.proxy.Toxics.RemoveToxic(context.Background(), toxic.Name)
@@ -320,22 +320,22 @@
 func (s *soak) disruptServerLink() { s.disruptLink(s.links[s.intN(len(s.links))]) }
 
 func (s *soak) changeServerBehavior() {
-	manners := []fake.Behavior{fake.Full, fake.Failing, fake.Unresponsive, fake.ConnectionReset, fake.WrongRequestID, fake.TruncatedStream}
+	behaviors := []fake.Behavior{fake.Full, fake.Failing, fake.Unresponsive, fake.ConnectionReset, fake.WrongRequestID, fake.TruncatedStream}
 	server := s.servers[s.intN(len(s.servers))]
-	server.SetBehavior(manners[s.intN(len(manners))])
+	server.SetBehavior(behaviors[s.intN(len(behaviors))])
 	time.Sleep(s.durationBetween(100*time.Millisecond, 1500*time.Millisecond))
 	server.SetBehavior(fake.Healthy)
 }
 
 func (s *soak) disruptStore() {
-	troubles := []fake.Faults{{Busy: true}, {Unresponsive: true}, {WatchesStalled: true}, {DropResponses: true}}
-	s.store.SetFaults(troubles[s.intN(len(troubles))])
+	faults := []fake.Faults{{Busy: true}, {Unresponsive: true}, {WatchesStalled: true}, {DropResponses: true}}
+	s.store.SetFaults(faults[s.intN(len(faults))])
 	time.Sleep(s.durationBetween(100*time.Millisecond, 2*time.Second))
 	s.store.Compact()
 	s.store.SetFaults(fake.Faults{})
 }
 
-// allFull lets every server reject what it is sent for a while.
+// rejectAll makes every server reject its requests for a while.
 func (s *soak) rejectAll() {
 	for _, server := range s.servers {
 		server.SetBehavior(fake.Full)
@@ -346,8 +346,8 @@
 	}
 }
 
-// silence lets open connections to the store, to the servers or to both fall
-// silent for good, while new ones work.
+// stallConnections permanently stalls the open connections to the store, to the
+// servers or to both.
 func (s *soak) stallConnections() {
 	which := 1 + s.intN(3)
 	if which&1 != 0 {
@@ -362,7 +362,7 @@
 	}
 }
 
-// bornAgain lets a server crash and start again under its id.
+// restartServer crashes a server and starts it again under the same ID.
 func (s *soak) restartServer() {
 	i := s.intN(len(s.servers))
 	s.servers[i].Restart()
@@ -370,16 +370,16 @@
 	s.registerServer(i)
 }
 
-// foreignEntry stores an entry that another writer made, beside the servers'
-// or in the place of one, which writes its own again.
+// putForeignEntry stores an invalid entry, under a key of its own or in place of
+// a server's entry, and later restores the server's entry.
 func (s *soak) putForeignEntry() {
 	i := s.intN(len(s.servers))
 	key := "servers/" + s.servers[i].ID
 	if s.intN(2) == 0 {
 		key = fmt.Sprint("servers/foreign-", s.intN(3))
 	}
-	whole := s.servers[i].Entry("plain", "zone-1", "ready")
-	fields := slices.Sorted(maps.Keys(whole))
+	entry := s.servers[i].Entry("plain", "zone-1", "ready")
+	fields := slices.Sorted(maps.Keys(entry))
 	field := fields[s.intN(len(fields))]
 	switch s.intN(4) {
 	case 0:
@@ -387,14 +387,14 @@
 	case 1:
 		s.store.Put(key, []any{field})
 	case 2:
-		delete(whole, field)
-		if field == "born" { // may be missing: then it would be a server's
-			whole["State"] = "unheard of"
+		delete(entry, field)
+		if field == "born" { // optional, so that the entry would still be valid
+			entry["State"] = "unheard of"
 		}
-		s.store.Put(key, whole)
+		s.store.Put(key, entry)
 	default:
-		whole[field] = map[string]any{"of": "another type"}
-		s.store.Put(key, whole)
+		entry[field] = map[string]any{"of": "another type"}
+		s.store.Put(key, entry)
 	}
 	time.Sleep(s.durationBetween(50*time.Millisecond, time.Second))
 	s.registerServer(i)
@@ -406,15 +406,15 @@
 	s.cloud.SetDown(false)
 }
 
-// change writes a new version that changes nothing for the clients.
+// changeConfig writes a new configuration version with the same content.
 func (s *soak) changeConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writeConfig()
 }
 
-// calm ends all faults. The last of them is that all open connections fall
-// silent while an entry that cannot be read lies in the store, whose history is gone.
+// endFaults clears all faults, after which nodes must recover from a last one:
+// stalled connections, with an unreadable entry and no history in the store.
 func (s *soak) endFaults() {
 	s.store.SetFaults(fake.Faults{})
 	s.cloud.SetDown(false)
@@ -431,48 +431,48 @@
 	}
 }
 
-// checkChange holds every node to a change that was made before it was in
-// touch again: the two spans do not add up.
+// checkChange verifies that every node has a change made soakChangeDelay after the
+// faults within catchUpTime of their end.
 func (s *soak) checkChange() {
-	calm := time.Now()
+	faultsEnded := time.Now()
 	time.Sleep(soakChangeDelay)
 	s.changeConfig()
-	time.Sleep(time.Until(calm.Add(catchUpTime + soakTimingMargin)))
+	time.Sleep(time.Until(faultsEnded.Add(catchUpTime + soakTimingMargin)))
 	for _, p := range s.procs {
 		if !s.waitVersion(p, time.Now().Add(soakTimingMargin)) {
-			s.addFailure("%s has not version %d, %s after the faults", p.proc.name, s.version, catchUpTime+soakTimingMargin)
+			s.addFailure("%s does not have version %d, %s after the faults ended", p.proc.name, s.version, catchUpTime+soakTimingMargin)
 		}
 	}
 }
 
-// checkBudget counts what servers were sent beyond the first arrival of each
-// request, in every window of the budget.
+// checkRetryBudget compares the retries that arrived at servers with the retry
+// budget, in every budget window that ends with a retry.
 func (s *soak) checkRetryBudget() {
 	var arrivals []fake.Arrival
 	for _, server := range s.servers {
 		arrivals = append(arrivals, server.Arrivals()...)
 	}
 	slices.SortFunc(arrivals, func(a, b fake.Arrival) int { return a.At.Compare(b.At) })
-	came := map[string]bool{}
-	var repeats []time.Time
+	seen := map[string]bool{}
+	var retries []time.Time
 	for _, a := range arrivals {
-		if came[a.ID] {
-			repeats = append(repeats, a.At)
+		if seen[a.ID] {
+			retries = append(retries, a.At)
 		}
-		came[a.ID] = true
+		seen[a.ID] = true
 	}
-	for i, end := range repeats {
+	for i, end := range retries {
 		from := end.Add(-budgetWindow)
 		count := 0
-		for _, at := range repeats[:i+1] {
+		for _, at := range retries[:i+1] {
 			if at.After(from) {
 				count++
 			}
 		}
-		asked := s.requestsBetween(from.Add(-budgetWindow), from)
-		asked = max(asked, s.requestsBetween(from, end), s.requestsBetween(from.Add(-budgetWindow/2), end.Add(-budgetWindow/2)))
-		if allowed := soakRetryRatio*float64(asked) + soakExtraRetries; float64(count) > allowed {
-			s.addFailure("%d repeats in %s for %d requests", count, budgetWindow, asked)
+		requests := s.requestsBetween(from.Add(-budgetWindow), from)
+		requests = max(requests, s.requestsBetween(from, end), s.requestsBetween(from.Add(-budgetWindow/2), end.Add(-budgetWindow/2)))
+		if allowed := soakRetryRatio*float64(requests) + soakExtraRetries; float64(count) > allowed {
+			s.addFailure("%d retries in %s for %d requests", count, budgetWindow, requests)
 			return
 		}
 	}
@@ -490,26 +490,27 @@
 func (s *soak) checkRecovery() {
 	for _, p := range s.procs {
 		if !s.waitReady(p, soakRecoveryTimeout) {
-			s.addFailure("%s is not ready again", p.proc.name)
+			s.addFailure("%s is not ready after the faults", p.proc.name)
 			continue
 		}
 		node := &gatewayNode{}
 		node.settings.Listen.Callers = p.front
-		end, served := time.Now().Add(soakRecoveryTimeout), false
-		for i := 0; !served && time.Now().Before(end); i++ {
+		deadline, served := time.Now().Add(soakRecoveryTimeout), false
+		for i := 0; !served && time.Now().Before(deadline); i++ {
 			served = node.send(gatewayRequest{method: http.MethodGet, path: "/repeat/x", id: fmt.Sprintf("after-%s-%d", p.proc.name, i)}).status == http.StatusOK
 		}
 		if !served {
-			s.addFailure("%s serves nothing after the faults", p.proc.name)
+			s.addFailure("%s serves no request after the faults", p.proc.name)
 		}
-		if !s.waitVersion(p, end) {
-			s.addFailure("%s does not have the newest configuration", p.proc.name)
+		if !s.waitVersion(p, deadline) {
+			s.addFailure("%s does not have the newest configuration version", p.proc.name)
 		}
 	}
 }
 
-func (s *soak) waitVersion(p *soakProc, end time.Time) bool {
-	for time.Now().Before(end) {
+// waitVersion waits until a node has the newest configuration version.
+func (s *soak) waitVersion(p *soakProc, deadline time.Time) bool {
+	for time.Now().Before(deadline) {
 		var state struct{ Version int }
 		if resp, err := http.Get("http://" + p.control + "/debug/state"); err == nil {
 			_ = json.NewDecoder(resp.Body).Decode(&state)
@@ -523,7 +524,7 @@
 	return false
 }
 
-// checkAnswers holds what clients were told against what servers ran.
+// checkResponses compares the responses of clients with the requests that servers ran.
 func (s *soak) checkResponses() {
 	runs := map[string]int{}
 	for _, server := range s.servers {
@@ -534,41 +535,41 @@
 			}
 		}
 	}
-	whole := 0
-	for _, a := range s.responses {
+	complete := 0
+	for _, r := range s.responses {
 		switch {
-		case a.atMostOnce && runs[a.id] > 1:
-			s.addFailure("%s ran %d times", a.id, runs[a.id])
-		case (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests) && a.err == nil && runs[a.id] > 0 && a.atMostOnce:
-			s.addFailure("%s was told that it has not run, and ran", a.id)
-		case a.err == nil && a.status >= 300 && a.status < 500 && a.status != http.StatusTooManyRequests:
-			s.addFailure("%s was answered %d", a.id, a.status)
-		case a.err == nil && a.status == http.StatusOK && !s.isComplete(a):
-			s.addFailure("%s was answered %q", a.id, a.body)
+		case r.atMostOnce && runs[r.id] > 1:
+			s.addFailure("%s ran %d times", r.id, runs[r.id])
+		case (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && r.err == nil && runs[r.id] > 0 && r.atMostOnce:
+			s.addFailure("%s was refused as not run, but ran", r.id)
+		case r.err == nil && r.status >= 300 && r.status < 500 && r.status != http.StatusTooManyRequests:
+			s.addFailure("%s got status %d", r.id, r.status)
+		case r.err == nil && r.status == http.StatusOK && !s.isComplete(r):
+			s.addFailure("%s got body %q", r.id, r.body)
 		}
-		if a.err == nil && a.status == http.StatusOK {
-			whole++
+		if r.err == nil && r.status == http.StatusOK {
+			complete++
 		}
 	}
-	if whole == 0 {
-		s.addFailure("nothing was served")
+	if complete == 0 {
+		s.addFailure("no request was served")
 	}
-	s.t.Logf("%d requests, %d whole answers", len(s.responses), whole)
+	s.t.Logf("%d requests, %d complete responses", len(s.responses), complete)
 }
 
-func (s *soak) isComplete(a soakResponse) bool {
-	if !a.stream {
-		return a.body == "answer of "+a.header.Get("Server-Stamp")
+func (s *soak) isComplete(r soakResponse) bool {
+	if !r.stream {
+		return r.body == "answer of "+r.header.Get("Server-Stamp")
 	}
 	want := ""
 	for event := 1; event <= fake.StreamEvents; event++ {
 		want += fmt.Sprintf("id: %d\ndata: piece-%d\n\n", event, event)
 	}
-	return a.body == want
+	return r.body == want
 }
 
-// checkDuties looks for a window with two counts, a fence that falls, and a
-// fence of two holders.
+// checkDuties verifies that no usage window was reported with different counts
+// and that fencing tokens never decrease and belong to one holder each.
 func (s *soak) checkDuties() {
 	windows, holders := map[any]string{}, map[int64]string{}
 	highest := int64(0)
@@ -579,10 +580,10 @@
 			s.addFailure("window %v was reported as %s and %s", window, old, counts)
 		}
 		if old, ok := holders[call.FencingToken]; ok && old != call.Holder {
-			s.addFailure("fence %d was used by %s and %s", call.FencingToken, old, call.Holder)
+			s.addFailure("fencing token %d was used by %s and %s", call.FencingToken, old, call.Holder)
 		}
 		if call.FencingToken < highest {
-			s.addFailure("fence %d came after %d", call.FencingToken, highest)
+			s.addFailure("fencing token %d came after %d", call.FencingToken, highest)
 		}
 		windows[window], holders[call.FencingToken], highest = string(counts), call.Holder, max(highest, call.FencingToken)
 	}
