--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -32,8 +32,8 @@
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	good := "kind: model\nname: one\nmodel: {bytes: 5, version: \"1\"}\n---\nkind: model\nname: two\nmodel: {bytes: 6, version: \"1\"}\n"
-	out, code := b.ctl("apply", "-f", file(good), "--wait")
+	models := "kind: model\nname: one\nmodel: {bytes: 5, version: \"1\"}\n---\nkind: model\nname: two\nmodel: {bytes: 6, version: \"1\"}\n"
+	out, code := b.ctl("apply", "-f", file(models), "--wait")
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "in force on all 3 nodes"))
 
@@ -43,12 +43,12 @@
 		is.True(strings.Contains(out, "event/"))
 	}
 
-	edited, code := b.ctl("edit", "model", "one")
+	exported, code := b.ctl("edit", "model", "one")
 	is.Equal(code, 0)
-	changed := file(strings.Replace(edited, "bytes: 5", "bytes: 7", 1))
-	_, code = b.ctl("apply", "-f", changed)
+	edited := file(strings.Replace(exported, "bytes: 5", "bytes: 7", 1))
+	_, code = b.ctl("apply", "-f", edited)
 	is.Equal(code, 0)
-	out, code = b.ctl("apply", "-f", changed) // by the version read before
+	out, code = b.ctl("apply", "-f", edited) // based on an outdated version
 	is.Equal(code, 3)
 	is.True(strings.Contains(out, "another version"))
 
@@ -73,7 +73,7 @@
 	is.Equal(strings.Count(out, `"uptime_s"`), 4) // three nodes and one control
 
 	b.kvFaults(standin.KVFaults{Down: true})
-	_, code = b.ctl("apply", "-f", file(good))
+	_, code = b.ctl("apply", "-f", file(models))
 	is.Equal(code, 4)
 	_, code = b.ctl("delete", "model", "one")
 	is.Equal(code, 4)
--- a/test/end_to_end_test.go
+++ b/test/end_to_end_test.go
@@ -26,21 +26,21 @@
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
 
-	whole := b.nodes[0].send(chatRequest("Describe the climb.", 30, false))
-	is.Equal(whole.status, http.StatusOK)
-	is.Equal(whole.outcome, "completed")
-	var answer struct {
+	plain := b.nodes[0].send(chatRequest("Describe the climb.", 30, false))
+	is.Equal(plain.status, http.StatusOK)
+	is.Equal(plain.outcome, "completed")
+	var completion struct {
 		Choices []struct{ Message struct{ Content string } }
 		Usage   struct {
 			Completion int `json:"completion_tokens"`
 		}
 	}
-	is.NoErr(json.Unmarshal([]byte(whole.body), &answer))
-	is.Equal(answer.Usage.Completion, 30)
+	is.NoErr(json.Unmarshal([]byte(plain.body), &completion))
+	is.Equal(completion.Usage.Completion, 30)
 
 	streamed := b.nodes[1].send(chatRequest("Describe the climb.", 30, true))
 	is.True(streamed.complete)
-	is.Equal(strings.Join(streamed.tokens, ""), answer.Choices[0].Message.Content) // both forms give the same text
+	is.Equal(strings.Join(streamed.tokens, ""), completion.Choices[0].Message.Content) // the same text as without streaming
 	for i, id := range streamed.eventIDs {
 		is.Equal(id, i+1) // event ids count tokens
 	}
@@ -96,15 +96,15 @@
 func TestBadInput(t *testing.T) {
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, entry: "limits: {body_bytes: 2000}"})
 	n := b.nodes[0]
-	stranger := chatRequest("x", 5, false)
-	stranger.bearer = "nobody"
+	unknown := chatRequest("x", 5, false)
+	unknown.bearer = "nobody"
 	for _, c := range []struct {
 		name string
-		ask  request
+		req  request
 		want int
 		code string
 	}{
-		{"unknown customer", stranger, 401, "invalid_api_key"},
+		{"unknown customer", unknown, 401, "invalid_api_key"},
 		{"unknown model", request{path: "/v1/completions", bearer: rideKey, body: `{"model":"none","prompt":"x"}`}, 404, "model_not_found"},
 		{"malformed JSON", request{path: "/v1/completions", bearer: rideKey, body: `{"model":`}, 400, "invalid_request"},
 		{"no prompt", request{path: "/v1/completions", bearer: rideKey, body: `{"model":"climb"}`}, 400, "invalid_request"},
@@ -117,7 +117,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r := n.send(c.ask)
+			r := n.send(c.req)
 			is.Equal(r.status, c.want)
 			is.Equal(r.outcome, "not-run")
 			is.True(strings.Contains(r.body, c.code))
@@ -129,9 +129,9 @@
 		other := bookingRequest("twice")
 		other.body = `{"chair":4}`
 		is.Equal(n.send(other).status, 422)
-		is.Equal(b.nodes[1].send(other).status, 422) // at another node as well
+		is.Equal(b.nodes[1].send(other).status, 422) // also at another node
 	})
-	t.Run("nothing of it ran", func(t *testing.T) {
+	t.Run("no bad request ran", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(len(b.runCounts()), 1)
 	})
@@ -173,7 +173,8 @@
 	}
 }
 
-// A stream that an engine breaks off is taken up where it broke, unseen by the caller.
+// A stream that an engine truncates must continue on another engine without the
+// caller noticing.
 func TestTruncatedEngineStream(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
@@ -198,9 +199,9 @@
 	done := make(chan struct{})
 	go func() {
 		runConcurrently(streams, func(i int) {
-			a := chatRequest(fmt.Sprintf("Notes for rider %d.", i), 150, true)
-			a.tokenIDs = started
-			results[i] = n.send(a)
+			req := chatRequest(fmt.Sprintf("Notes for rider %d.", i), 150, true)
+			req.tokenIDs = started
+			results[i] = n.send(req)
 		})
 		close(done)
 	}()
@@ -208,11 +209,11 @@
 		<-started
 	}
 	n.signal(syscall.SIGTERM)
-	b.eventually("endpoints drop the node", func() bool {
+	b.eventually("the endpoints no longer include the node", func() bool {
 		var e struct{ Endpoints []struct{ Address string } }
 		getJSON("http://"+b.nodes[1].callers+"/v1/endpoints", rideKey, &e)
-		for _, a := range e.Endpoints {
-			if a.Address == n.callers {
+		for _, endpoint := range e.Endpoints {
+			if endpoint.Address == n.callers {
 				return false
 			}
 		}
@@ -225,22 +226,22 @@
 	}
 	is.Equal(results[0].tokens, want.tokens)
 	is.True(n.waitExit(stopTimeout))
-	b.eventually("its shards are kept by others", func() bool {
+	b.eventually("other nodes have taken over its shards", func() bool {
 		s := b.state(b.nodes[1])
 		return s.PassiveShards == 0 && len(s.Shards) == s.MapShards
 	})
 	is.Equal(b.nodes[1].send(bookingRequest("after")).status, 200)
 }
 
-// No secret shows in a log or a state dump.
+// Logs and state dumps must not contain secrets.
 func TestSecretsAreNotExposed(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
 	is.Equal(b.nodes[0].send(chatRequest("hello", 3, false)).status, 200)
 	is.Equal(b.nodes[0].send(bookingRequest("k")).status, 200)
-	stranger := bookingRequest("k")
-	stranger.bearer = "wrong-secret-key"
-	is.Equal(b.nodes[0].send(stranger).status, 401)
+	unknown := bookingRequest("k")
+	unknown.bearer = "wrong-secret-key"
+	is.Equal(b.nodes[0].send(unknown).status, 401)
 	texts := map[string]string{}
 	for _, n := range b.nodes {
 		var dump json.RawMessage
@@ -258,7 +259,7 @@
 	for where, text := range texts {
 		for _, secret := range []string{"test-peer", token, rideKey, clinicKey, "wrong-secret-key", catalog.HashKey(rideKey)} {
 			if strings.Contains(text, secret) {
-				t.Errorf("%s shows %q", where, secret)
+				t.Errorf("%s contains %q", where, secret)
 			}
 		}
 	}
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -29,7 +29,7 @@
 func TestGatewayPassesRequestUnchanged(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	s := b.addServer("i-1")
+	s := b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	got := n.send(gatewayRequest{method: http.MethodPost, path: "/once/a%2Fb?x=1&y=%20", id: "r1", body: "bytes", header: map[string]string{"Deadline-Ms": "700", "Tenant": "forged"}})
@@ -51,11 +51,11 @@
 func TestGatewayRefusesBadInput(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	s := b.addServer("i-1")
+	s := b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	before := len(s.Runs())
-	status := func(a gatewayRequest) int { return n.send(a).status }
+	status := func(req gatewayRequest) int { return n.send(req).status }
 	is.Equal(status(gatewayRequest{method: "GET", path: "/none/", id: "a"}), http.StatusNotFound)
 	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: "a", header: map[string]string{"Authorization": "Bearer wrong"}}), http.StatusUnauthorized)
 	is.Equal(status(gatewayRequest{method: "GET", path: "/once/", id: ""}), http.StatusBadRequest)
@@ -67,7 +67,7 @@
 func TestGatewayDoesNotRunTruncatedRequest(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	s := b.addServer("i-1")
+	s := b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	conn, err := net.Dial("tcp", n.settings.Listen.Callers)
@@ -83,7 +83,7 @@
 func TestGatewayRetriesUnexecutedRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	first, second := b.addServer("i-1"), b.addServer("i-2")
+	first, second := b.startServer("i-1"), b.startServer("i-2")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	for _, behavior := range []fake.Behavior{fake.Full, fake.WrongServer} {
@@ -104,9 +104,9 @@
 	b := newGatewayTestbed(t)
 	b.retries = "Bounds.RetryBudgetRatio=0\nBounds.ExtraRetries=0\n"
 	for _, id := range []string{"i-dead-1", "i-dead-2"} {
-		b.addServer(id).Close()
+		b.startServer(id).Close()
 	}
-	b.addServer("i-1")
+	b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	for i := range 30 {
@@ -119,7 +119,7 @@
 func TestGatewayDoesNotRepeatUnsafeRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
+	servers := []*fake.Server{b.startServer("i-1"), b.startServer("i-2")}
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	for _, behavior := range []fake.Behavior{fake.ConnectionReset, fake.WrongRequestID} {
@@ -137,7 +137,7 @@
 func TestGatewayRepeatsSafeRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	servers := []*fake.Server{b.addServer("i-1"), b.addServer("i-2")}
+	servers := []*fake.Server{b.startServer("i-1"), b.startServer("i-2")}
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	for _, behavior := range []fake.Behavior{fake.ConnectionReset, fake.Failing, fake.WrongRequestID} {
@@ -158,7 +158,7 @@
 func TestGatewayTimesOutAndCancelsRequest(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	s := b.addServer("i-1")
+	s := b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	s.SetBehavior(fake.Unresponsive)
@@ -173,7 +173,7 @@
 func TestGatewayPassesStreams(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	b.addServer("i-1")
+	b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
@@ -184,7 +184,7 @@
 func TestGatewayResumesStreamOnceInOrder(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	truncating, healthy := b.addServer("i-1"), b.addServer("i-2")
+	truncating, healthy := b.startServer("i-1"), b.startServer("i-2")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	truncating.SetBehavior(fake.TruncatedStream)
@@ -209,7 +209,7 @@
 func TestGatewayAbortsTruncatedStream(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	s := b.addServer("i-1")
+	s := b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	s.SetBehavior(fake.TruncatedStream)
@@ -221,7 +221,7 @@
 func TestGatewayObeysConfigurationAndDrainingServers(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	first, second := b.addServer("i-1"), b.addServer("i-2")
+	first, second := b.startServer("i-1"), b.startServer("i-2")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	b.store.Put("servers/i-1", first.Entry("plain", "zone-1", "draining"))
@@ -244,7 +244,7 @@
 func TestGatewayGetsChangesFromPeersWhenStoreIsBusy(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	b.addServer("i-1")
+	b.startServer("i-1")
 	peer := b.startNode(b.store.Address())
 	b.waitServing(peer, "p")
 	// The second node's store rejects every call with 503.
@@ -275,7 +275,7 @@
 func TestGatewayStopsGracefully(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	b.addServer("i-1")
+	b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	responses := make(chan gatewayResponse, 1)
@@ -305,7 +305,7 @@
 func TestGatewayReportsUsageOnceDespiteLostResponses(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
-	b.addServer("i-1")
+	b.startServer("i-1")
 	first := b.startNode(b.store.Address())
 	b.startNode(b.store.Address(), first.settings.Listen.Peers)
 	b.waitServing(first, "p")
--- a/test/gateway_testbed_test.go
+++ b/test/gateway_testbed_test.go
@@ -78,7 +78,7 @@
 }
 
 // addServer starts a server of the service and stores its entry.
-func (b *gatewayTestbed) addServer(id string) *fake.Server {
+func (b *gatewayTestbed) startServer(id string) *fake.Server {
 	s := fake.NewServer(id)
 	b.t.Cleanup(s.Close)
 	b.store.Put("servers/"+id, s.Entry("plain", "zone-1", "ready"))
@@ -158,17 +158,17 @@
 	duration time.Duration
 }
 
-func (n *gatewayNode) send(a gatewayRequest) gatewayResponse {
-	req, _ := http.NewRequest(a.method, "http://"+n.settings.Listen.Callers+a.path, strings.NewReader(a.body))
-	req.Host = testHost
-	req.Header.Set("Request-Id", a.id)
-	req.Header.Set("Authorization", "Bearer "+testAPIKey)
-	for name, value := range a.header {
-		req.Header.Set(name, value)
+func (n *gatewayNode) send(req gatewayRequest) gatewayResponse {
+	httpReq, _ := http.NewRequest(req.method, "http://"+n.settings.Listen.Callers+req.path, strings.NewReader(req.body))
+	httpReq.Host = testHost
+	httpReq.Header.Set("Request-Id", req.id)
+	httpReq.Header.Set("Authorization", "Bearer "+testAPIKey)
+	for name, value := range req.header {
+		httpReq.Header.Set(name, value)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	start := time.Now()
-	resp, err := client.Do(req)
+	resp, err := client.Do(httpReq)
 	if err != nil {
 		return gatewayResponse{err: err, duration: time.Since(start)}
 	}
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -18,13 +18,13 @@
 	"github.com/crankridge/crankridge/src/standin"
 )
 
-// These measure; they assert nothing. make measure runs them and prints tables.
+// The tests below assert nothing; make measure runs them and prints tables.
 
-// load runs crankctl load against addresses and returns its report.
+// runLoad runs crankctl load against the addresses and returns its report.
 func (b *testbed) runLoad(addrs []string, args ...string) ctl.LoadReport {
 	b.t.Helper()
-	all := append([]string{"--entry", strings.Join(addrs, ","), "--key", rideKey, "load", "--model", "climb", "--json"}, args...)
-	cmd := exec.Command(filepath.Join(binaries, "crankctl"), all...)
+	cmdArgs := append([]string{"--entry", strings.Join(addrs, ","), "--key", rideKey, "load", "--model", "climb", "--json"}, args...)
+	cmd := exec.Command(filepath.Join(binaries, "crankctl"), cmdArgs...)
 	cmd.Stderr = os.Stderr
 	raw, err := cmd.Output()
 	if err != nil {
@@ -45,8 +45,7 @@
 	return out
 }
 
-// What the path through a node adds to the first token, against the same load
-// sent to the engines directly.
+// Latency that a node adds, compared with the same load sent to the engines directly.
 func TestMeasureAddedLatency(t *testing.T) {
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 6, services: 1, modelServers: 1, engineShape: "step_ms: 5, step_per_seq: 0.02, prefill_tps: 200000, slots: 64"})
 	var engines []string
@@ -67,10 +66,10 @@
 	}
 }
 
-// The cost of a claim: bookings that claim against the same calls made repeatable by their key being fresh.
+// Cost of a claim: the same bookings with the service not repeatable and repeatable.
 func TestMeasureClaim(t *testing.T) {
 	b := newTestbed(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
-	traffic := func() (in, out int64) {
+	peerBytes := func() (in, out int64) {
 		for _, n := range b.nodes {
 			s := b.state(n)
 			in += s.Traffic["peers_in"][0]
@@ -80,53 +79,53 @@
 	}
 	const n = 2000
 	for run := range 3 {
-		idleIn, idleOut := traffic()
+		idleIn, idleOut := peerBytes()
 		idleStart := time.Now()
 		<-time.After(3 * time.Second)
-		in, out := traffic()
-		perSecond := float64(in-idleIn+out-idleOut) / time.Since(idleStart).Seconds()
+		in, out := peerBytes()
+		idleRate := float64(in-idleIn+out-idleOut) / time.Since(idleStart).Seconds()
 		for _, claimed := range []bool{false, true} {
 			version := b.apply(catalog.Resource{Kind: catalog.KindService, Name: "booking", Service: &catalog.Service{Repeatable: !claimed}})
 			b.eventually("in force", func() bool { return b.rolloutStatus(version).Have == 5 })
-			in0, out0 := traffic()
+			in0, out0 := peerBytes()
 			start := time.Now()
-			took := make([]time.Duration, n)
+			durations := make([]time.Duration, n)
 			runConcurrently(4, func(w int) {
 				for i := w; i < n; i += 4 {
-					a := bookingRequest(fmt.Sprintf("m%d-%t-%d", run, claimed, i)).withHeader("Crankridge-Attempt", "1")
+					req := bookingRequest(fmt.Sprintf("m%d-%t-%d", run, claimed, i)).withHeader("Crankridge-Attempt", "1")
 					if !claimed {
-						delete(a.header, "Idempotency-Key")
+						delete(req.header, "Idempotency-Key")
 					}
-					r := b.nodes[i%5].send(a)
+					r := b.nodes[i%5].send(req)
 					if r.outcome != "completed" {
 						t.Error(r.status, r.body)
 					}
-					took[i] = r.duration
+					durations[i] = r.duration
 				}
 			})
-			in1, out1 := traffic()
-			bytes := float64(in1-in0+out1-out0) - perSecond*time.Since(start).Seconds()
-			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantileMS(took, .5), quantileMS(took, .99), bytes/n)
+			in1, out1 := peerBytes()
+			bytes := float64(in1-in0+out1-out0) - idleRate*time.Since(start).Seconds()
+			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantileMS(durations, .5), quantileMS(durations, .99), bytes/n)
 		}
 	}
 }
 
-func quantileMS(d []time.Duration, q float64) float64 {
-	s := append([]time.Duration(nil), d...)
-	for i := range s {
-		for j := i; j > 0 && s[j] < s[j-1]; j-- {
-			s[j], s[j-1] = s[j-1], s[j]
+func quantileMS(durations []time.Duration, q float64) float64 {
+	sorted := append([]time.Duration(nil), durations...)
+	for i := range sorted {
+		for j := i; j > 0 && sorted[j] < sorted[j-1]; j-- {
+			sorted[j], sorted[j-1] = sorted[j-1], sorted[j]
 		}
 	}
-	return float64(s[int(q*float64(len(s)-1))].Microseconds()) / 1000
+	return float64(sorted[int(q*float64(len(sorted)-1))].Microseconds()) / 1000
 }
 
-// The route policies side by side on the same fakes and seeds.
+// Routing policies compared on the same stand-ins and seeds.
 func TestMeasureRouting(t *testing.T) {
 	shape := "slots: 16, prefill_tps: 8000, step_ms: 15, step_per_seq: 0.4, cache_blocks: 250, lag_ms: "
 	load := []string{"--prefixes", "60", "--prefix-len", "300", "--max-tokens", "40", "--duration", "15s"}
 	steady := append([]string{"--rate", "85"}, load...)
-	surged := append([]string{"--rate", "12", "--surge", "10", "--surge-start", "3s", "--surge-ramp", "5s", "--surge-for", "5s"}, load...)
+	surging := append([]string{"--rate", "12", "--surge", "10", "--surge-start", "3s", "--surge-ramp", "5s", "--surge-for", "5s"}, load...)
 	for _, sc := range []struct {
 		name, lag string
 		args      []string
@@ -135,8 +134,8 @@
 		{"steady, reports 0.5 s old", "500", steady, nil},
 		{"steady, reports 2 s old", "2000", steady, nil},
 		{"steady, reports 5 s old", "5000", steady, nil},
-		{"surge x10 in 5 s, reports 0.5 s old", "500", surged, nil},
-		{"surge, a domain taken back at its start", "500", surged, func(b *testbed) { b.reclaimDomain("fd-b", 2*time.Second) }},
+		{"surge x10 in 5 s, reports 0.5 s old", "500", surging, nil},
+		{"surge, a domain reclaimed at its start", "500", surging, func(b *testbed) { b.reclaimDomain("fd-b", 2*time.Second) }},
 		{"steady, half the cache events lost", "500", steady, func(b *testbed) {
 			for _, e := range b.engines {
 				b.postAdmin(e.addr, "faults", standin.EngineFaults{DropCacheEvents: 0.5})
@@ -160,31 +159,30 @@
 	}
 }
 
-// Three times what the engines can do, from a large customer and a small one.
+// Three times the capacity of the engines, from two customers of weights 3 and 1.
 func TestMeasureOverload(t *testing.T) {
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 0, modelServers: 1,
 		engineShape: "slots: 16, prefill_tps: 8000, step_ms: 15, step_per_seq: 0.4", entry: "limits: {first_token: 3s}"})
 	args := []string{"--prefixes", "5", "--prefix-len", "20", "--own-len", "5", "--max-tokens", "40"}
-	// 3 engines of 16 slots whose 40 tokens take 21 ms each.
-	full := b.runLoad(b.callerAddrs(), append([]string{"--rate", "50", "--duration", "15s"}, args...)...)
+	// 3 engines with 16 slots, 40 tokens a request, 21 ms a token.
+	nearCapacity := b.runLoad(b.callerAddrs(), append([]string{"--rate", "50", "--duration", "15s"}, args...)...)
 	capacity := 3.0 * 16 / (40 * 0.021) * 40
-	t.Logf("capacity %.0f tokens/s; at about 0.9 of it: %.0f tokens/s, refused %d", capacity, full.TokensPS, full.Refused)
-	// Three callers of weight 3 for one of weight 1.
+	t.Logf("capacity %.0f tokens/s; at about 0.9 of it: %.0f tokens/s, refused %d", capacity, nearCapacity.TokensPS, nearCapacity.Refused)
 	r := b.runLoad(b.callerAddrs(), append([]string{"--rate", "171", "--duration", "60s", "--keys", rideKey + "," + clinicKey}, args...)...)
 	t.Logf("at 3 times capacity for 60 s: %.0f tokens/s (%.0f%% of capacity), refused %d of %d %v, broken %d, refusal p99 %.1f ms, first token p95 %.0f ms", r.TokensPS, 100*r.TokensPS/capacity, r.Refused, r.Sent, r.RefusedByCode, r.Broken, r.RefusalP99, r.FirstP95)
-	all := r.ByKey[0].Tokens + r.ByKey[1].Tokens
-	t.Logf("shares by weight 3 to 1: %.1f%% and %.1f%%", 100*float64(r.ByKey[0].Tokens)/float64(all), 100*float64(r.ByKey[1].Tokens)/float64(all))
+	total := r.ByKey[0].Tokens + r.ByKey[1].Tokens
+	t.Logf("shares by weight 3 to 1: %.1f%% and %.1f%%", 100*float64(r.ByKey[0].Tokens)/float64(total), 100*float64(r.ByKey[1].Tokens)/float64(total))
 	for _, n := range b.nodes {
 		t.Logf("%s resident %d MB", n.name, residentMB(n.cmd.Process.Pid))
 	}
 }
 
-// A reclaim wave in the midst of an event, with replacements refused for a
-// while: the product against all on-demand, and against no spreading.
+// A failure domain is reclaimed during an event while replacements are refused:
+// the default planner compared with on-demand VMs only and without spreading.
 func TestMeasureWave(t *testing.T) {
 	for _, v := range []struct{ name, control string }{
-		{"spread, by price and reclaims", ""},
-		{"all on-demand", ", on_demand_only: true"},
+		{"default planner", ""},
+		{"on-demand only", ", on_demand_only: true"},
 		{"reclaimable, not spread", ", spread: false"},
 	} {
 		t.Run(v.name, func(t *testing.T) {
@@ -201,14 +199,14 @@
 				time.AfterFunc(5*time.Second, func() { b.postAdmin(b.cloud, "faults", standin.CloudFaults{Refuse: []string{"fd-a"}}) })
 			})
 			go func() {
-				bad := time.Duration(0)
+				total := time.Duration(0)
 				for time.Since(start) < 24*time.Second {
 					if b.eventStatus("rides").Phase != event.InForce {
-						bad += 100 * time.Millisecond
+						total += 100 * time.Millisecond
 					}
 					<-time.After(100 * time.Millisecond)
 				}
-				degraded <- bad
+				degraded <- total
 			}()
 			r := b.runLoad(b.callerAddrs(), "--rate", "55", "--prefixes", "20", "--prefix-len", "100", "--max-tokens", "40", "--duration", "24s")
 			after := b.cloudCost()
@@ -218,7 +216,7 @@
 	}
 }
 
-// Processor time and memory of the data path, for each request and each token.
+// CPU time and memory of the data path, per request and per token.
 func TestMeasurePath(t *testing.T) {
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 12, services: 1, modelServers: 1, engineShape: "step_ms: 10, step_per_seq: 0.02, prefill_tps: 200000, slots: 128"})
 	cpu := func() (sum float64) {
@@ -232,7 +230,7 @@
 			from, start := cpu(), time.Now()
 			r := b.runLoad(b.callerAddrs(), "--rate", c.rate, "--max-tokens", c.tokens, "--duration", "8s", "--prefix-len", "100", "--own-len", "5")
 			used := cpu() - from
-			t.Logf("run %d: %s requests/s of %s tokens: completed %d of %d, %.0f tokens/s; processor %.0f us a request, %.1f us a token at most; resident %d MB; lasted %.1f s",
+			t.Logf("run %d: %s requests/s of %s tokens: completed %d of %d, %.0f tokens/s; CPU %.0f us per request, at most %.1f us per token; resident %d MB; took %.1f s",
 				run+1, c.rate, c.tokens, r.Completed, r.Sent, r.TokensPS, 1e6*used/float64(r.Completed), 1e6*used/(r.TokensPS*time.Since(start).Seconds()), residentMB(b.nodes[0].cmd.Process.Pid), time.Since(start).Seconds())
 		}
 	}
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -16,8 +16,8 @@
 	"github.com/crankridge/crankridge/src/standin"
 )
 
-// Streams of no event make room for a customer of an event in force. They are
-// paused, not cut, and end with the tokens they would have had.
+// Other streams must make room for a customer of an event in force: they are
+// paused, not aborted, and still return the same tokens.
 func TestEventPreemptsOtherStreams(t *testing.T) {
 	is := is.New(t)
 	event := catalog.Resource{Kind: catalog.KindEvent, Name: "opening", Event: &catalog.Event{
@@ -25,16 +25,16 @@
 		Customers: []catalog.EventCustomer{{Name: "clinics", FirstTokenMS: 3000}}, Priority: 5,
 	}}
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "routing: {overshoot: 1, report: 200ms}", extra: []catalog.Resource{event}})
-	const slots, low, tokens = 6, 12, 150 // twice what fits, 3 s and more each
+	const slots, streams, tokens = 6, 12, 150 // twice the slots, at least 3 s each
 	want := b.nodes[0].send(chatRequest(longPrompt(0), tokens, true))
-	started := make(chan int, low)
-	var streams []response
+	started := make(chan int, streams)
+	var responses []response
 	done := make(chan struct{})
-	go func() { streams = b.sendStreams(low, tokens, started); close(done) }()
+	go func() { responses = b.sendStreams(streams, tokens, started); close(done) }()
 	for range slots {
 		<-started
 	}
-	b.eventually("node 0 knows that all engines are full", func() bool {
+	b.eventually("node 0 sees all engines full", func() bool {
 		full := 0
 		for _, u := range b.state(b.nodes[0]).Upstreams {
 			if u.Busy >= 2 {
@@ -47,25 +47,26 @@
 	urgent.bearer = clinicKey
 	r := b.nodes[0].send(urgent)
 	is.True(r.complete)
-	is.True(r.duration < 2*time.Second) // the others hold their slots for longer
+	is.True(r.duration < 2*time.Second) // the other streams would keep their slots longer
 	<-done
-	for _, s := range streams {
+	for _, s := range responses {
 		is.True(s.complete)
 		is.Equal(len(s.tokens), tokens)
 	}
-	is.Equal(streams[0].tokens, want.tokens)
+	is.Equal(responses[0].tokens, want.tokens)
 	is.True(b.counterByLabel("tokens_carried", "cause")["yield"] > 0)
-	t.Logf("urgent answer after %d ms; paused streams went on with %v tokens, computed again %v", r.duration.Milliseconds(), b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
+	t.Logf("urgent response after %d ms; tokens carried over by paused streams %v, recomputed %v", r.duration.Milliseconds(), b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
 }
 
-// What cannot be served in time is refused at once, with the time to come back.
+// Requests that cannot be served in time must be refused within a second, with a
+// Retry-After-Ms.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "slots: 2, step_ms: 20", entry: "limits: {first_token: 500ms}"})
-	replies := make([]response, 60)
-	runConcurrently(60, func(i int) { replies[i] = b.nodes[i%3].send(chatRequest(longPrompt(i), 60, true)) })
+	responses := make([]response, 60)
+	runConcurrently(60, func(i int) { responses[i] = b.nodes[i%3].send(chatRequest(longPrompt(i), 60, true)) })
 	served, refused := 0, 0
-	for _, r := range replies {
+	for _, r := range responses {
 		switch {
 		case r.complete:
 			served++
@@ -80,7 +81,7 @@
 	is.True(served > 0 && refused > 0)
 }
 
-// A service's own time limit ends a call, whatever the caller would wait.
+// A service's timeout must end a call even if the caller's deadline is later.
 func TestServiceTimeLimit(t *testing.T) {
 	is := is.New(t)
 	slow := catalog.Resource{Kind: catalog.KindService, Name: "booking", Service: &catalog.Service{TimeoutMS: 200}}
@@ -91,8 +92,7 @@
 	is.True(r.duration < 2*time.Second)
 }
 
-// When no engine gives a token, the request is given up and not held until
-// its deadline.
+// A request must fail before its deadline if every engine has stalled.
 func TestAllEnginesStalled(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, entry: "routing: {stall: 300ms}"})
@@ -115,9 +115,9 @@
 	served := make([]int, callers)
 	runConcurrently(callers, func(i int) {
 		for time.Since(start) < 5*time.Second {
-			a := chatRequest("short", 1, false)
-			a.bearer = "limited-key"
-			if b.nodes[i%3].send(a).status == http.StatusOK {
+			req := chatRequest("short", 1, false)
+			req.bearer = "limited-key"
+			if b.nodes[i%3].send(req).status == http.StatusOK {
 				served[i]++
 			}
 		}
@@ -127,27 +127,27 @@
 		total += n
 	}
 	t.Logf("%d served in %s at a limit of 20/s", total, time.Since(start).Round(time.Millisecond))
-	is.True(total >= 70 && total <= 150) // 100, with a second's burst at each node to begin with
+	is.True(total >= 70 && total <= 150) // 100, and an initial burst of one second at each node
 }
 
-// A reader that takes nothing holds up nobody, and its answer is there to be
-// taken up at another node.
+// A caller that stops reading must not block others, and can resume its response
+// at another node.
 func TestSlowReader(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {write_stall: 300ms, orphan: 20s, answer_bytes: 4000000}"})
-	a := chatRequest("A very long story.", 6000, true)
+	req := chatRequest("A very long story.", 6000, true)
 	conn, err := net.Dial("tcp", b.nodes[0].callers)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	_ = conn.(*net.TCPConn).SetReadBuffer(1024)
-	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nIdempotency-Key: slow\r\nContent-Length: %d\r\n\r\n%s", a.path, rideKey, len(a.body), a.body)
+	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nIdempotency-Key: slow\r\nContent-Length: %d\r\n\r\n%s", req.path, rideKey, len(req.body), req.body)
 	line, err := bufio.NewReaderSize(conn, 16).ReadString('\n')
 	is.NoErr(err)
 	is.True(strings.Contains(line, "200"))
 	is.True(b.nodes[0].send(chatRequest("hello", 3, true)).complete)
-	whole := b.nodes[1].send(a.withHeader("Idempotency-Key", "slow").withHeader("Last-Event-ID", "5990"))
-	is.True(whole.complete)
-	is.Equal(whole.eventIDs[0], 5991)
+	resumed := b.nodes[1].send(req.withHeader("Idempotency-Key", "slow").withHeader("Last-Event-ID", "5990"))
+	is.True(resumed.complete)
+	is.Equal(resumed.eventIDs[0], 5991)
 }
 
 func TestResponseSizeLimit(t *testing.T) {
@@ -159,26 +159,26 @@
 	is.True(size >= 1024 && size < 1100)
 }
 
-// All of a failure domain's VMs are lost at once, entry node and engines
-// alike, without a word. Callers come back elsewhere and get the rest.
+// When a failure domain loses its entry nodes and engines without notice, callers
+// resume their streams at other nodes and get the remaining tokens.
 func TestFailureDomainLoss(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 6, domains: 3, engines: 6, services: 2, modelServers: 1, reclaimable: true})
 	const n, tokens = 30, 200
 	want := make([]response, n)
 	runConcurrently(n, func(i int) { want[i] = b.nodes[1].send(chatRequest(longPrompt(i), tokens, true)) })
-	started := make(chan int, n*tokens)
+	tokenIDs := make(chan int, n*tokens)
 	got := make([]response, n)
 	done := make(chan struct{})
 	go func() {
 		runConcurrently(n, func(i int) {
-			a := chatRequest(longPrompt(i), tokens, true).withHeader("Idempotency-Key", fmt.Sprintf("lost-%d", i))
-			a.tokenIDs = started
-			got[i] = b.nodes[i%6].send(a)
-			for try := 1; !got[i].complete && try < 8; try++ {
+			req := chatRequest(longPrompt(i), tokens, true).withHeader("Idempotency-Key", fmt.Sprintf("lost-%d", i))
+			req.tokenIDs = tokenIDs
+			got[i] = b.nodes[i%6].send(req)
+			for attempt := 1; !got[i].complete && attempt < 8; attempt++ {
 				<-time.After(100 * time.Millisecond)
-				a.tokenIDs = nil
-				rest := b.nodes[(i+try)%6].send(a.withHeader("Last-Event-ID", fmt.Sprint(len(got[i].tokens))))
+				req.tokenIDs = nil
+				rest := b.nodes[(i+attempt)%6].send(req.withHeader("Last-Event-ID", fmt.Sprint(len(got[i].tokens))))
 				got[i].tokens = append(got[i].tokens, rest.tokens...)
 				got[i].complete = rest.complete
 			}
@@ -186,7 +186,7 @@
 		close(done)
 	}()
 	for range n * 20 {
-		<-started
+		<-tokenIDs
 	}
 	for _, e := range b.engines {
 		if e.domain == "fd-b" {
@@ -197,7 +197,7 @@
 	b.nodes[4].signal(syscall.SIGKILL)
 	for range n*tokens - n*20 {
 		select {
-		case <-started:
+		case <-tokenIDs:
 		case <-done:
 		}
 	}
@@ -206,10 +206,10 @@
 		is.True(got[i].complete)
 		is.Equal(got[i].tokens, want[i].tokens)
 	}
-	t.Logf("streams went on with %v tokens, computed again %v", b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
+	t.Logf("tokens carried over %v, recomputed %v", b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause"))
 }
 
-// The key-value service answers every call half a second late.
+// A key-value service that delays every call by 500 ms must not slow down requests.
 func TestKeyValueServiceSlow(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
@@ -217,7 +217,7 @@
 	runConcurrently(30, func(i int) {
 		r := b.nodes[i%3].send(bookingRequest(fmt.Sprintf("slow-%d", i)))
 		if r.status != http.StatusOK || r.duration > time.Second {
-			t.Errorf("%d after %s", r.status, r.duration)
+			t.Errorf("status %d after %s", r.status, r.duration)
 		}
 	})
 	version := b.apply(catalog.Resource{Kind: catalog.KindModel, Name: "slow", Model: &catalog.Model{Bytes: 1, Version: "1"}})
--- a/test/reclaim_test.go
+++ b/test/reclaim_test.go
@@ -17,7 +17,7 @@
 	"github.com/crankridge/crankridge/src/standin"
 )
 
-// metric adds up a counter over all nodes, by the named label.
+// counterByLabel sums a counter over all nodes, by the value of the named label.
 func (b *testbed) counterByLabel(name, label string) map[string]float64 {
 	line := regexp.MustCompile(`(?m)^crankridge_` + name + `_total\{.*?` + label + `="([^"]*)".*?\} ([0-9.e+]+)$`)
 	out := map[string]float64{}
@@ -38,32 +38,34 @@
 	return out
 }
 
+// longPrompt returns a prompt of about 1,100 characters, distinct for each i.
 func longPrompt(i int) string {
 	return fmt.Sprintf("Ride %d. ", i) + strings.Repeat("The route begins at the old mill and follows the river. ", 20)
 }
 
-// streams sends n streams over the nodes; begun is told of each first token.
+// sendStreams sends n streams, spread over the nodes, and sends the index of each to
+// started, if not nil, at its first token.
 func (b *testbed) sendStreams(n, tokens int, started chan<- int) []response {
 	out := make([]response, n)
 	runConcurrently(n, func(i int) {
-		a := chatRequest(longPrompt(i), tokens, true)
+		req := chatRequest(longPrompt(i), tokens, true)
 		ids := make(chan int, tokens+1)
-		a.tokenIDs = ids
+		req.tokenIDs = ids
 		go func() {
 			<-ids
 			if started != nil {
 				started <- i
 			}
 		}()
-		out[i] = b.nodes[i%len(b.nodes)].send(a)
+		out[i] = b.nodes[i%len(b.nodes)].send(req)
 		close(ids)
 	})
 	return out
 }
 
-// reclaimDomain takes back a domain's engines as the cloud does: with a
-// notice, and at its end the VMs are gone whatever runs on them.
-func (b *testbed) reclaimDomain(domain string, notice time.Duration) (gone <-chan struct{}) {
+// reclaimDomain sends the reclaim notice for a domain's engines and kills them when
+// it expires; the returned channel is then closed.
+func (b *testbed) reclaimDomain(domain string, notice time.Duration) (killed <-chan struct{}) {
 	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{FailureDomain: domain, Role: "engine", NoticeMS: notice.Milliseconds()})
 	done := make(chan struct{})
 	go func() {
@@ -78,13 +80,13 @@
 	return done
 }
 
-// Today's size, scaled down only in the speed of its engines: 9 nodes and 24
-// engines in 4 failure domains, one of which is taken back under load.
+// No stream may be lost, or repeat or skip a token, when one of 4 failure domains
+// is reclaimed under load. The engines run slower than in production.
 func TestDomainReclaimedUnderStreams(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 24, services: 1, modelServers: 1, reclaimable: true,
 		engineShape: "step_ms: 12, prefill_tps: 20000, move_tps: 50000"})
-	const n, tokens = 96, 600 // 7 s or more each: longer than the notice
+	const n, tokens = 96, 600 // at least 7 s each, longer than the notice
 	started := make(chan int, n)
 	var got []response
 	done := make(chan struct{})
@@ -92,10 +94,10 @@
 	for range n {
 		<-started
 	}
-	gone := b.reclaimDomain("fd-b", 5*time.Second)
+	killed := b.reclaimDomain("fd-b", 5*time.Second)
 	<-done
-	<-gone
-	lost, doubled := 0, 0
+	<-killed
+	lost, misnumbered := 0, 0
 	for _, r := range got {
 		if !r.complete {
 			lost++
@@ -103,36 +105,36 @@
 		}
 		for i, id := range r.eventIDs {
 			if id != i+1 {
-				doubled++
+				misnumbered++
 			}
 		}
 	}
 	is.Equal(lost, 0)
-	is.Equal(doubled, 0)
-	carried, again := b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause")
-	t.Logf("moves %v; streams went on with %v tokens, of which computed again %v", b.counterByLabel("moves", "how"), carried, again)
+	is.Equal(misnumbered, 0)
+	carried, recomputed := b.counterByLabel("tokens_carried", "cause"), b.counterByLabel("tokens_recomputed", "cause")
+	t.Logf("moves %v; tokens carried over %v, of which recomputed %v", b.counterByLabel("moves", "how"), carried, recomputed)
 	is.True(carried["reclaim"] > 0)
-	is.True(again["reclaim"] < carried["reclaim"]/5) // starting again from the prompt computes all of them
+	is.True(recomputed["reclaim"] < carried["reclaim"]/5) // a restart from the prompt would recompute all
 	undisturbed := b.sendStreams(n, tokens, nil)
 	for i := range got {
 		is.Equal(got[i].tokens, undisturbed[i].tokens)
 	}
 }
 
-// A leaving engine gets no new work within 3 s of the first sign, on any node.
+// Within 3 s of the first sign that an engine leaves, no node may send it new requests.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		sign func(b *testbed, e *engineProc)
+		name  string
+		leave func(b *testbed, e *engineProc)
 	}{
-		{"the cloud's notice", func(b *testbed, e *engineProc) {
+		{"reclaim notice from the cloud", func(b *testbed, e *engineProc) {
 			b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
-		{"the engine's own word", func(b *testbed, e *engineProc) {
+		{"announced by the engine", func(b *testbed, e *engineProc) {
 			b.postAdmin(e.addr, "leave", map[string]int64{"deadline_ms": time.Now().Add(time.Minute).UnixMilli()})
 		}},
-		{"a lost connection", func(_ *testbed, e *engineProc) { e.signal(syscall.SIGKILL) }},
-		{"the cloud's notice, key-value service down", func(b *testbed, e *engineProc) {
+		{"connection lost", func(_ *testbed, e *engineProc) { e.signal(syscall.SIGKILL) }},
+		{"reclaim notice, key-value service down", func(b *testbed, e *engineProc) {
 			b.kvFaults(standin.KVFaults{Down: true})
 			b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: e.name, NoticeMS: 60000})
 		}},
@@ -142,8 +144,8 @@
 			b := newTestbed(t, options{nodes: 5, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {report: 500ms}"})
 			e := b.engines[1]
 			start := time.Now()
-			c.sign(b, e)
-			b.eventually("every node avoids the engine", func() bool {
+			c.leave(b, e)
+			b.eventually("no node uses the engine", func() bool {
 				for _, n := range b.nodes {
 					for _, u := range b.state(n).Upstreams {
 						if u.Name == e.name && !u.Leaving && !u.Ejected {
@@ -154,9 +156,9 @@
 				return true
 			})
 			took := time.Since(start)
-			t.Logf("avoided on all nodes after %d ms", took.Milliseconds())
+			t.Logf("unused by all nodes after %d ms", took.Milliseconds())
 			is.True(took < 3*time.Second)
-			if c.name == "a lost connection" {
+			if c.name == "connection lost" {
 				return
 			}
 			var before, after standin.EngineTotals
@@ -168,17 +170,17 @@
 	}
 }
 
-// A caller whose node dies takes its stream up at another node: each token
-// once, in order, and nothing is computed again while the engine lives.
+// A caller whose node dies resumes its stream at another node: every token arrives
+// once, in order, and none is recomputed.
 func TestResumeAtAnotherNode(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lose  func(b *testbed)
-		given bool // the caller gave the key itself
+		name        string
+		fail        func(b *testbed)
+		keyProvided bool // by the caller
 	}{
 		{"node killed", func(b *testbed) { b.nodes[0].kill() }, true},
 		{"node killed, key issued by it", func(b *testbed) { b.nodes[0].kill() }, false},
-		{"node and engines' connections cut", func(b *testbed) {
+		{"node killed, engine connections cut", func(b *testbed) {
 			b.nodes[0].kill()
 			for _, e := range b.engines {
 				b.postAdmin(e.addr, "faults", map[string]int{"cut_after": 20})
@@ -189,32 +191,32 @@
 			is := is.New(t)
 			b := newTestbed(t, smallSystem)
 			want := b.nodes[1].send(chatRequest(longPrompt(1), 120, true))
-			decoded := b.decodedTokens()
-			a := chatRequest(longPrompt(1), 120, true)
-			if c.given {
-				a = a.withHeader("Idempotency-Key", "narrative-1")
+			decodedBefore := b.decodedTokens()
+			req := chatRequest(longPrompt(1), 120, true)
+			if c.keyProvided {
+				req = req.withHeader("Idempotency-Key", "narrative-1")
 			}
 			ids := make(chan int, 200)
-			a.tokenIDs = ids
+			req.tokenIDs = ids
 			var once sync.Once
 			go func() {
 				for id := range ids {
 					if id == 30 {
-						once.Do(func() { c.lose(b) })
+						once.Do(func() { c.fail(b) })
 					}
 				}
 			}()
-			first := b.nodes[0].send(a)
+			first := b.nodes[0].send(req)
 			is.True(!first.complete)
 			last := first.eventIDs[len(first.eventIDs)-1]
-			a.tokenIDs = nil
-			a = a.withHeader("Idempotency-Key", first.key).withHeader("Last-Event-ID", strconv.Itoa(last))
-			rest := b.nodes[1].send(a)
+			req.tokenIDs = nil
+			req = req.withHeader("Idempotency-Key", first.key).withHeader("Last-Event-ID", strconv.Itoa(last))
+			rest := b.nodes[1].send(req)
 			is.True(rest.complete)
 			is.Equal(rest.eventIDs[0], last+1)
 			is.Equal(append(first.tokens, rest.tokens...), want.tokens)
-			t.Logf("%d tokens before, %d after, %d decoded in all", len(first.tokens), len(rest.tokens), b.decodedTokens()-decoded)
-			is.Equal(b.decodedTokens()-decoded, int64(120)) // nothing twice
+			t.Logf("%d tokens before the failure, %d after it, %d decoded in total", len(first.tokens), len(rest.tokens), b.decodedTokens()-decodedBefore)
+			is.Equal(b.decodedTokens()-decodedBefore, int64(120)) // no token was recomputed
 		})
 	}
 }
@@ -229,7 +231,7 @@
 	return sum
 }
 
-// An engine that accepts and then makes no progress is found by that.
+// Requests must complete although an engine accepts them and makes no progress.
 func TestHungEngine(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, entry: "routing: {stall: 500ms}"})
@@ -241,24 +243,24 @@
 	}
 }
 
-// A reclaim notice on the VM of an entry node: what fits in it ends there, the
-// rest goes on at another node.
+// After a reclaim notice for an entry node, a stream that would outlast it is ended
+// and can be resumed at another node.
 func TestEntryNodeReclaimed(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 1, modelServers: 1, engineShape: "step_ms: 20"})
 	want := b.nodes[1].send(chatRequest(longPrompt(2), 300, true))
 	ids := make(chan int, 400)
-	a := chatRequest(longPrompt(2), 300, true).withHeader("Idempotency-Key", "long")
-	a.tokenIDs = ids
+	req := chatRequest(longPrompt(2), 300, true).withHeader("Idempotency-Key", "long")
+	req.tokenIDs = ids
 	first := make(chan response, 1)
-	go func() { first <- b.nodes[0].send(a) }()
+	go func() { first <- b.nodes[0].send(req) }()
 	<-ids
 	b.postAdmin(b.cloud, "reclaim", standin.ReclaimRequest{Name: b.nodes[0].name, NoticeMS: 3000})
 	r := <-first
-	is.True(!r.complete) // six seconds do not fit in three
+	is.True(!r.complete) // the stream takes 6 s, the notice is 3 s
 	is.Equal(r.outcome, "may-have-run")
-	a.tokenIDs = nil
-	rest := b.nodes[1].send(a.withHeader("Last-Event-ID", strconv.Itoa(len(r.eventIDs))))
+	req.tokenIDs = nil
+	rest := b.nodes[1].send(req.withHeader("Last-Event-ID", strconv.Itoa(len(r.eventIDs))))
 	is.True(rest.complete)
 	is.Equal(append(r.tokens, rest.tokens...), want.tokens)
 	is.True(b.nodes[0].waitExit(stopTimeout))
--- a/test/regression_test.go
+++ b/test/regression_test.go
@@ -62,7 +62,7 @@
 // Unreadable entries from other writers must not hide the configuration (issue 19, CONFIG).
 func TestUnreadableEntriesDoNotHideConfiguration(t *testing.T) {
 	b := newGatewayTestbed(t)
-	b.addServer("i-1")
+	b.startServer("i-1")
 	b.store.PutRaw("servers/i-0", "not base64 !")
 	b.store.Put("servers/i-2", map[string]any{"Service": 7, "Address": []int{1}})
 	b.store.Put("servers/i-3", map[string]any{"Service": "plain"})
@@ -91,7 +91,7 @@
 func (b *gatewayTestbed) addRejectingServers(count int) []*fake.Server {
 	var servers []*fake.Server
 	for i := range count {
-		s := b.addServer(fmt.Sprint("i-", i))
+		s := b.startServer(fmt.Sprint("i-", i))
 		s.SetBehavior(fake.Full)
 		servers = append(servers, s)
 	}
@@ -151,7 +151,7 @@
 // A request must not wait for a restarted server that has lost it (issue 19).
 func TestRequestGoesOnElsewhereWhenItsServerIsBornAgain(t *testing.T) {
 	b := newGatewayTestbed(t)
-	servers := []*fake.Server{b.addServer("i-0"), b.addServer("i-1")}
+	servers := []*fake.Server{b.startServer("i-0"), b.startServer("i-1")}
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "before")
 	for _, s := range servers {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -479,8 +479,8 @@
 }
 
 func (s *soak) requestsBetween(from, to time.Time) (count int) {
-	for _, a := range s.responses {
-		if !a.at.Before(from) && !a.at.After(to) {
+	for _, r := range s.responses {
+		if !r.at.Before(from) && !r.at.After(to) {
 			count++
 		}
 	}
--- a/test/testbed_test.go
+++ b/test/testbed_test.go
@@ -519,23 +519,23 @@
 var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // send posts a request to node n and reads the response to its end.
-func (n *node) send(a request) response {
+func (n *node) send(req request) response {
 	start := time.Now()
-	timeout := a.timeout
+	timeout := req.timeout
 	if timeout == 0 {
 		timeout = callerTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+a.path, strings.NewReader(a.body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+req.path, strings.NewReader(req.body))
 	if err != nil {
 		return response{err: err}
 	}
-	req.Header.Set("Authorization", "Bearer "+a.bearer)
-	for k, v := range a.header {
-		req.Header.Set(k, v)
+	httpReq.Header.Set("Authorization", "Bearer "+req.bearer)
+	for k, v := range req.header {
+		httpReq.Header.Set(k, v)
 	}
-	resp, err := callerClient.Do(req)
+	resp, err := callerClient.Do(httpReq)
 	if err != nil {
 		return response{err: err, duration: time.Since(start)}
 	}
@@ -545,7 +545,7 @@
 		retryAfter: resp.Header.Get("Retry-After-Ms"), header: resp.Header,
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		r.readStream(resp.Body, a.tokenIDs)
+		r.readStream(resp.Body, req.tokenIDs)
 	} else {
 		raw, err := io.ReadAll(resp.Body)
 		r.body, r.err = string(raw), err
@@ -566,15 +566,15 @@
 	return request{path: "/v1/services/booking/chairs", body: `{"chair":3}`, bearer: clinicKey, header: map[string]string{"Idempotency-Key": key}}
 }
 
-func (a request) withHeader(name, value string) request {
+func (r request) withHeader(name, value string) request {
 	h := map[string]string{name: value}
-	for k, v := range a.header {
+	for k, v := range r.header {
 		if k != name {
 			h[k] = v
 		}
 	}
-	a.header = h
-	return a
+	r.header = h
+	return r
 }
 
 // runConcurrently calls each for 0 to n-1 in n goroutines and waits for them.
