--- a/test/gateway_testbed_test.go
+++ b/test/gateway_testbed_test.go
@@ -77,7 +77,7 @@
 	b.store.Put("op/config", b.config)
 }
 
-// addServer starts a server of the service and stores its entry.
+// startServer starts a server of the service and stores its entry.
 func (b *gatewayTestbed) startServer(id string) *fake.Server {
 	s := fake.NewServer(id)
 	b.t.Cleanup(s.Close)
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Cost of a claim: the same bookings with the service not repeatable and repeatable.
+// Cost of a claim: bookings of a service that is not repeatable, compared with one that is.
 func TestMeasureClaim(t *testing.T) {
 	b := newTestbed(t, options{nodes: 5, domains: 3, engines: 1, services: 2, modelServers: 1})
 	peerBytes := func() (in, out int64) {
@@ -105,7 +105,7 @@
 			})
 			in1, out1 := peerBytes()
 			bytes := float64(in1-in0+out1-out0) - idleRate*time.Since(start).Seconds()
-			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes a request %.0f", run+1, claimed, quantileMS(durations, .5), quantileMS(durations, .99), bytes/n)
+			t.Logf("run %d claimed %t: p50 %.2f ms p99 %.2f ms, peer bytes per request %.0f", run+1, claimed, quantileMS(durations, .5), quantileMS(durations, .99), bytes/n)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 3, services: 0, modelServers: 1,
 		engineShape: "slots: 16, prefill_tps: 8000, step_ms: 15, step_per_seq: 0.4", entry: "limits: {first_token: 3s}"})
 	args := []string{"--prefixes", "5", "--prefix-len", "20", "--own-len", "5", "--max-tokens", "40"}
-	// 3 engines with 16 slots, 40 tokens a request, 21 ms a token.
+	// 3 engines with 16 slots, 40 tokens per request, 21 ms per token.
 	nearCapacity := b.runLoad(b.callerAddrs(), append([]string{"--rate", "50", "--duration", "15s"}, args...)...)
 	capacity := 3.0 * 16 / (40 * 0.021) * 40
 	t.Logf("capacity %.0f tokens/s; at about 0.9 of it: %.0f tokens/s, refused %d", capacity, nearCapacity.TokensPS, nearCapacity.Refused)
--- a/test/regression_test.go
+++ b/test/regression_test.go
@@ -10,7 +10,7 @@
 	"github.com/crankridge/crankridge/platform/fake"
 )
 
-// Limits that the operators' documentation states.
+// Documented limits.
 const (
 	catchUpTime  = 3 * time.Second // for a node to catch up after faults end
 	budgetRatio  = 0.2
