--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -14,7 +14,7 @@
 )
 
 // ctl runs crankctl and returns its output and exit code.
-func (b *bench) ctl(args ...string) (string, int) {
+func (b *testbed) ctl(args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(binaries, "crankctl"), append([]string{"--control", strings.Join(b.controls, ","), "--token", token}, args...)...)
 	out, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
@@ -26,14 +26,14 @@
 
 func TestCommandLine(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, small)
+	b := newTestbed(t, smallSystem)
 	file := func(text string) string {
 		path := filepath.Join(t.TempDir(), "r.yaml")
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	good := "kind: model\nname: one\nmodel: {bytes: 5, version: \"1\"}\n---\nkind: model\nname: two\nmodel: {bytes: 6, version: \"1\"}\n"
-	out, code := b.ctl("apply", "-f", file(good), "--wait")
+	models := "kind: model\nname: one\nmodel: {bytes: 5, version: \"1\"}\n---\nkind: model\nname: two\nmodel: {bytes: 6, version: \"1\"}\n"
+	out, code := b.ctl("apply", "-f", file(models), "--wait")
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "in force on all 3 nodes"))
 
@@ -43,12 +43,12 @@
 		is.True(strings.Contains(out, "event/"))
 	}
 
-	edited, code := b.ctl("edit", "model", "one")
+	exported, code := b.ctl("edit", "model", "one")
 	is.Equal(code, 0)
-	changed := file(strings.Replace(edited, "bytes: 5", "bytes: 7", 1))
-	_, code = b.ctl("apply", "-f", changed)
+	edited := file(strings.Replace(exported, "bytes: 5", "bytes: 7", 1))
+	_, code = b.ctl("apply", "-f", edited)
 	is.Equal(code, 0)
-	out, code = b.ctl("apply", "-f", changed) // by the version read before
+	out, code = b.ctl("apply", "-f", edited) // based on an outdated version
 	is.Equal(code, 3)
 	is.True(strings.Contains(out, "another version"))
 
@@ -60,7 +60,7 @@
 	_, code = b.ctl("get", "model", "dry")
 	is.Equal(code, 1)
 
-	r := b.nodes[0].send(booking("explained"))
+	r := b.nodes[0].send(bookingRequest("explained"))
 	is.Equal(r.status, 200)
 	out, code = b.ctl("explain", "request", "clinics/explained")
 	is.Equal(code, 0)
@@ -73,7 +73,7 @@
 	is.Equal(strings.Count(out, `"uptime_s"`), 4) // three nodes and one control
 
 	b.kvFaults(standin.KVFaults{Down: true})
-	_, code = b.ctl("apply", "-f", file(good))
+	_, code = b.ctl("apply", "-f", file(models))
 	is.Equal(code, 4)
 	_, code = b.ctl("delete", "model", "one")
 	is.Equal(code, 4)
--- /dev/null
+++ b/test/gateway_testbed_test.go
@@ -0,0 +1,185 @@
+package test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/crankridge/crankridge/platform"
+	"github.com/crankridge/crankridge/platform/fake"
+	"github.com/crankridge/crankridge/src/gateway"
+)
+
+// gatewayTestbed runs gateway nodes in the test process against a fake store and cloud.
+type gatewayTestbed struct {
+	t       *testing.T
+	is      *is.I
+	store   *fake.Store
+	cloud   *fake.Cloud
+	nodes   []*gatewayNode
+	version int
+	config  map[string]any
+	retries string // settings of the retry budget
+	duties  string // value of CloudApi.Duties
+}
+
+type gatewayNode struct {
+	settings gateway.Settings
+	stop     context.CancelFunc
+	done     chan struct{}
+}
+
+const (
+	testAPIKey   = "key-of-one"
+	testCustomer = "one"
+	testHost     = "site.example"
+)
+
+func newGatewayTestbed(t *testing.T) *gatewayTestbed {
+	b := &gatewayTestbed{t: t, is: is.New(t), store: fake.NewStore(), cloud: fake.NewCloud(), duties: "usage_reporting", retries: "Bounds.RetryBudgetRatio=0.2\nBounds.ExtraRetries=50\n"}
+	t.Cleanup(b.store.Close)
+	t.Cleanup(b.cloud.Close)
+	b.config = map[string]any{
+		"Routes": []any{
+			b.routeConfig("once", "/once/", "unsafe", "plain", 1, false),
+			b.routeConfig("repeat", "/repeat/", "safe", "plain", 2, false),
+			b.routeConfig("stream", "/stream/", "streaming", "plain", 1, false),
+			b.routeConfig("resume", "/resume/", "streaming", "plain", 2, true),
+		},
+		"Services": []any{map[string]any{"Name": "plain", "HealthCheckPath": "/health", "MaxConnections": 100}},
+		"Limits":   map[string]any{"MaxHeaderBytes": 4096, "MaxBodyBytes": 10000, "HeaderTimeoutMs": 3000, "IdleTimeoutMs": 15000},
+		"Tenants":  []any{map[string]any{"Name": testCustomer, "ApiKeys": []string{testAPIKey}}},
+	}
+	b.writeConfig()
+	return b
+}
+
+func (b *gatewayTestbed) routeConfig(name, prefix, kind, service string, attempts int, resume bool) map[string]any {
+	return map[string]any{
+		"Name": name, "Host": testHost, "PathPrefix": prefix, "Kind": kind, "TimeoutMs": 1000, "TargetLatencyMs": 100,
+		"Service": service, "MaxAttempts": attempts, "Sticky": kind == "streaming", "Resumable": resume, "TargetGapMs": 500,
+	}
+}
+
+// writeConfig stores the operator's configuration under a new version.
+func (b *gatewayTestbed) writeConfig() {
+	b.version += 3
+	b.config["Version"] = b.version
+	b.store.Put("op/config", b.config)
+}
+
+// startServer starts a server of the service and stores its entry.
+func (b *gatewayTestbed) startServer(id string) *fake.Server {
+	s := fake.NewServer(id)
+	b.t.Cleanup(s.Close)
+	b.store.Put("servers/"+id, s.Entry("plain", "zone-1", "ready"))
+	return s
+}
+
+// ephemeralAddr returns a loopback address with a free ephemeral port.
+func ephemeralAddr(t *testing.T) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// startNode starts a node that uses the store at the given address.
+func (b *gatewayTestbed) startNode(storeAddress string, seeds ...string) *gatewayNode {
+	return b.startNamedNode(fmt.Sprintf("node-%d", len(b.nodes)+1), true, storeAddress, seeds...)
+}
+
+// startNamedNode starts a node and waits until it is ready; first sets FirstStart.
+func (b *gatewayTestbed) startNamedNode(name string, first bool, storeAddress string, seeds ...string) *gatewayNode {
+	text := fmt.Sprintf("NodeName=%s\nZone=zone-1\nRegion=here\nFirstStart=%t\nSeedNodes=%s\n", name, first, strings.Join(seeds, ","))
+	for _, name := range []string{"Front", "Ready", "Control", "Directory"} {
+		text += "ListenAddresses." + name + "=" + ephemeralAddr(b.t) + "\n"
+	}
+	text += "PlatformSettings.Address=" + storeAddress + "\nCloudApi.Address=" + b.cloud.Address() + "\nCloudApi.Duties=" + b.duties + "\n" +
+		"Bounds.GracePeriodS=2\nBounds.LeaseMs=1000\nBounds.UsageWindowS=1\nBounds.UsageLateS=10\nBounds.BudgetWindowS=10\n" + b.retries
+	path := filepath.Join(b.t.TempDir(), "settings.conf")
+	b.is.NoErr(os.WriteFile(path, []byte(text), 0o600))
+	set, err := platform.Load(path)
+	b.is.NoErr(err)
+	node, err := gateway.New(set, platform.New(set))
+	b.is.NoErr(err)
+	ctx, stop := context.WithCancel(context.Background())
+	n := &gatewayNode{settings: set, stop: stop, done: make(chan struct{})}
+	go func() {
+		defer close(n.done)
+		_ = node.Run(ctx)
+	}()
+	b.nodes = append(b.nodes, n)
+	b.t.Cleanup(func() { stop(); <-n.done })
+	b.eventually("node ready", func() bool {
+		resp, err := http.Get("http://" + set.Listen.Ready + "/-/readiness")
+		if err != nil {
+			return false
+		}
+		defer func() { _ = resp.Body.Close() }()
+		return resp.StatusCode == http.StatusOK
+	})
+	return n
+}
+
+func (b *gatewayTestbed) eventually(what string, ok func() bool) {
+	b.t.Helper()
+	deadline := time.Now().Add(10 * time.Second)
+	for !ok() {
+		if time.Now().After(deadline) {
+			b.t.Fatalf("condition not met within 10 s: %s", what)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+type gatewayRequest struct {
+	method, path, id, body string
+	header                 map[string]string
+}
+
+// gatewayResponse is what a client received; err is set if the response is incomplete.
+type gatewayResponse struct {
+	status   int
+	header   http.Header
+	body     string
+	err      error
+	duration time.Duration
+}
+
+func (n *gatewayNode) send(req gatewayRequest) gatewayResponse {
+	httpReq, _ := http.NewRequest(req.method, "http://"+n.settings.Listen.Callers+req.path, strings.NewReader(req.body))
+	httpReq.Host = testHost
+	httpReq.Header.Set("Request-Id", req.id)
+	httpReq.Header.Set("Authorization", "Bearer "+testAPIKey)
+	for name, value := range req.header {
+		httpReq.Header.Set(name, value)
+	}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	start := time.Now()
+	resp, err := client.Do(httpReq)
+	if err != nil {
+		return gatewayResponse{err: err, duration: time.Since(start)}
+	}
+	defer func() { _ = resp.Body.Close() }()
+	raw, err := io.ReadAll(resp.Body)
+	return gatewayResponse{resp.StatusCode, resp.Header, string(raw), err, time.Since(start)}
+}
+
+// waitServing waits until a node serves requests; id is the ID of the probe request.
+func (b *gatewayTestbed) waitServing(n *gatewayNode, id string) {
+	b.eventually("requests are served", func() bool {
+		return n.send(gatewayRequest{method: http.MethodGet, path: "/repeat/probe", id: id}).status == http.StatusOK
+	})
+}
--- a/test/bench_test.go
+++ b/test/testbed_test.go
@@ -1,5 +1,5 @@
-// Package test runs the real binaries behind a fault-injecting proxy and
-// checks the promises made to callers and operators.
+// Package test runs the built binaries behind fault-injecting proxies and
+// checks the guarantees given to callers and operators.
 package test
 
 import (
@@ -32,12 +32,12 @@
 )
 
 const (
-	token      = "test-operator"
-	rideKey    = "ride-key"
-	clinicKey  = "clinic-key"
-	patience   = 30 * time.Second
-	pollEvery  = 10 * time.Millisecond
-	stopWithin = 15 * time.Second
+	token             = "test-operator"
+	rideKey           = "ride-key"
+	clinicKey         = "clinic-key"
+	eventuallyTimeout = 30 * time.Second
+	pollInterval      = 10 * time.Millisecond
+	stopTimeout       = 15 * time.Second
 )
 
 var binaries string
@@ -62,7 +62,7 @@
 	os.Exit(code)
 }
 
-// proc is one process.
+// proc is a child process; its output goes to a log file and it can be launched again.
 type proc struct {
 	t    *testing.T
 	name string
@@ -72,7 +72,7 @@
 	path string
 }
 
-func (b *bench) start(name, binary, settings string) *proc {
+func (b *testbed) start(name, binary, settings string) *proc {
 	b.t.Helper()
 	path := filepath.Join(b.dir, name+".yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
@@ -108,20 +108,20 @@
 	<-p.done
 }
 
-func (p *proc) waitStopped(within time.Duration) bool {
+func (p *proc) waitExit(timeout time.Duration) bool {
 	select {
 	case <-p.done:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// options shape a bench; zero values take the defaults of newBench.
+// options configure a testbed. Zero values select the defaults of newTestbed.
 type options struct {
 	nodes        int
 	domains      int
-	engines      int // each of model climb
+	engines      int // all serve the model climb
 	services     int // servers of service booking
 	engineShape  string
 	ttl          string
@@ -132,12 +132,12 @@
 	reclaimable  bool
 	modelServers int
 	weightsRate  string
-	exchange     string // settings of the talk between nodes
-	direct       bool   // no proxies between the processes
+	exchange     string // settings of the state exchange between nodes
+	direct       bool   // connect nodes without proxies
 	extra        []catalog.Resource
 }
 
-// node is one crank-entry with the proxies before it and its KV link.
+// node is a crank-entry process with the proxies to its peer port and to the key-value service.
 type node struct {
 	*proc
 	name, domain              string
@@ -146,8 +146,8 @@
 	settings                  string
 }
 
-// bench is a running system with its fakes.
-type bench struct {
+// testbed is a running system with stand-ins for its upstreams and platform.
+type testbed struct {
 	t        *testing.T
 	dir      string
 	kv       string
@@ -155,7 +155,7 @@
 	standins *proc
 	engines  []*engineProc
 	services []string
-	svcLinks []*link // between the nodes and each server of the service
+	svcLinks []*link // from the nodes to each server of the service
 	nodes    []*node
 	controls []string
 	ctlProcs []*proc
@@ -167,7 +167,7 @@
 	name, domain, addr string
 }
 
-// link is a proxy that can be cut and joined again.
+// link is a TCP proxy that can be disconnected and reconnected.
 type link struct {
 	proxy *toxiproxy.Proxy
 	addr  string
@@ -185,16 +185,16 @@
 	return l
 }
 
-func (l *link) cut() { l.proxy.Stop() }
+func (l *link) disconnect() { l.proxy.Stop() }
 
-func (l *link) join(t *testing.T) {
+func (l *link) reconnect(t *testing.T) {
 	if err := l.proxy.Start(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Ports are taken below the range from which the system picks those of
-// outgoing connections, so that none is gone before its process listens.
+// Ports are allocated below the ephemeral range, so that no outgoing connection
+// takes one before its process listens.
 const (
 	firstPort = 10000
 	lastPort  = 32000
@@ -202,8 +202,8 @@
 
 var nextPort atomic.Int64
 
-// Each run begins elsewhere: two at once would take each other's ports between
-// the look and the use.
+// A random start keeps concurrent test runs from taking a port between the
+// check in freeAddr and its use.
 func init() { nextPort.Store(rand.Int64N(lastPort - firstPort)) }
 
 func freeAddr(t *testing.T) string {
@@ -221,12 +221,12 @@
 
 func domainName(i int) string { return "fd-" + string(rune('a'+i)) }
 
-func newBench(t *testing.T, o options) *bench {
+func newTestbed(t *testing.T, o options) *testbed {
 	t.Helper()
-	b := &bench{t: t, dir: t.TempDir()}
-	t.Cleanup(b.showLogs)
+	b := &testbed{t: t, dir: t.TempDir()}
+	t.Cleanup(b.dumpLogs)
 	b.kv, b.cloud = freeAddr(t), freeAddr(t)
-	b.startOutside(o)
+	b.startStandins(o)
 	b.startControls(o)
 	b.apply(append(baseResources(o), o.extra...)...)
 	for i := range o.nodes {
@@ -234,13 +234,13 @@
 	}
 	b.eventually("all nodes are ready", func() bool {
 		for _, n := range b.nodes {
-			if get("http://"+n.callers+"/readyz", "", nil) != http.StatusOK {
+			if getJSON("http://"+n.callers+"/readyz", "", nil) != http.StatusOK {
 				return false
 			}
 		}
 		return true
 	})
-	b.eventually("all nodes know all nodes and upstreams", func() bool {
+	b.eventually("all nodes list all nodes and upstreams", func() bool {
 		for _, n := range b.nodes {
 			s := b.state(n)
 			if len(s.Nodes) != o.nodes || len(s.Upstreams) < o.engines+o.services || s.PassiveShards > 0 {
@@ -252,8 +252,8 @@
 	return b
 }
 
-func (b *bench) showLogs() {
-	b.findRaces()
+func (b *testbed) dumpLogs() {
+	b.reportRaces()
 	if !b.t.Failed() {
 		return
 	}
@@ -265,8 +265,8 @@
 	}
 }
 
-// findRaces fails the test when a process built with RACE=1 reported a data race.
-func (b *bench) findRaces() {
+// reportRaces fails the test if a process built with RACE=1 logged a data race.
+func (b *testbed) reportRaces() {
 	files, _ := filepath.Glob(filepath.Join(b.dir, "*.log"))
 	for _, f := range files {
 		raw, _ := os.ReadFile(f)
@@ -276,7 +276,7 @@
 	}
 }
 
-func (b *bench) startOutside(o options) {
+func (b *testbed) startStandins(o options) {
 	weights := freeAddr(b.t)
 	rate := o.weightsRate
 	if rate == "" {
@@ -297,9 +297,9 @@
 		name, addr := fmt.Sprintf("booking-%d", i), freeAddr(b.t)
 		b.start(name, "crank-standin", fmt.Sprintf("services:\n  - {name: %s, listen: %q}\n", name, addr))
 		b.services = append(b.services, addr)
-		reach := newLink(b.t, name, addr)
-		b.svcLinks = append(b.svcLinks, reach)
-		vm(name, domainName(i%o.domains), "service", "booking", reach.addr)
+		svcLink := newLink(b.t, name, addr)
+		b.svcLinks = append(b.svcLinks, svcLink)
+		vm(name, domainName(i%o.domains), "service", "booking", svcLink.addr)
 	}
 	for i := range o.nodes {
 		vm(nodeName(i), domainName(i%o.domains), "entry", "", "")
@@ -310,7 +310,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("node-%02d", i) }
 
-func (b *bench) startControls(o options) {
+func (b *testbed) startControls(o options) {
 	for i := range max(o.controls, 1) {
 		addr := freeAddr(b.t)
 		kv := newLink(b.t, "kv-control", b.kv)
@@ -325,12 +325,12 @@
 planner: {round: 200ms, boot: 1s, margin: 1s, recheck: 1s%s}
 `, i, addr, kv.addr, b.cloud, token, o.control)))
 	}
-	b.eventually("crank-control answers", func() bool {
-		return get("http://"+b.controls[0]+"/readyz", token, nil) == http.StatusOK
+	b.eventually("crank-control is ready", func() bool {
+		return getJSON("http://"+b.controls[0]+"/readyz", token, nil) == http.StatusOK
 	})
 }
 
-func (b *bench) addNode(o options, i int) *node {
+func (b *testbed) addNode(o options, i int) *node {
 	n := &node{name: nodeName(i), domain: domainName(i % o.domains), callers: freeAddr(b.t), operators: freeAddr(b.t)}
 	listenPeers := freeAddr(b.t)
 	kv := b.kv
@@ -378,15 +378,16 @@
 	}
 }
 
-// apply stores resources through the first control, creating or replacing.
-func (b *bench) apply(list ...catalog.Resource) int64 {
+// apply creates or replaces resources through the first crank-control and
+// returns the version of the last one.
+func (b *testbed) apply(list ...catalog.Resource) int64 {
 	b.t.Helper()
 	last := int64(0)
 	for _, r := range list {
 		b.eventually("apply "+r.Name, func() bool {
-			var have catalog.Resource
-			_ = get(b.resourceURL(0, r), token, &have)
-			status, stored := b.put(0, r, have.Version, "")
+			var current catalog.Resource
+			_ = getJSON(b.resourceURL(0, r), token, &current)
+			status, stored := b.putResource(0, r, current.Version, "")
 			last = stored.Version
 			return status == http.StatusOK
 		})
@@ -394,11 +395,11 @@
 	return last
 }
 
-func (b *bench) resourceURL(control int, r catalog.Resource) string {
+func (b *testbed) resourceURL(control int, r catalog.Resource) string {
 	return fmt.Sprintf("http://%s/v1/resources/%s/%s", b.controls[control], r.Kind, r.Name)
 }
 
-func (b *bench) put(control int, r catalog.Resource, version int64, change string) (int, catalog.Resource) {
+func (b *testbed) putResource(control int, r catalog.Resource, version int64, change string) (int, catalog.Resource) {
 	raw, _ := json.Marshal(r)
 	req, _ := http.NewRequest(http.MethodPut, b.resourceURL(control, r), bytes.NewReader(raw))
 	req.Header.Set("Authorization", "Bearer "+token)
@@ -416,8 +417,9 @@
 	return resp.StatusCode, stored
 }
 
-// get reads a JSON document; into may be nil.
-func get(url, bearer string, into any) int {
+// getJSON returns the HTTP status, or 0 if the request failed, and decodes an OK
+// response into into, which may be nil.
+func getJSON(url, bearer string, into any) int {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -435,8 +437,8 @@
 	return resp.StatusCode
 }
 
-// admin makes an admin call of a fake.
-func (b *bench) admin(addr, path string, body any) {
+// postAdmin calls the admin API of a stand-in.
+func (b *testbed) postAdmin(addr, path string, body any) {
 	b.t.Helper()
 	raw, _ := json.Marshal(body)
 	resp, err := http.Post("http://"+addr+"/admin/"+path, "application/json", bytes.NewReader(raw))
@@ -446,138 +448,137 @@
 	_ = resp.Body.Close()
 }
 
-func (b *bench) kvFaults(f standin.KVFaults) { b.admin(b.kv, "faults", f) }
+func (b *testbed) kvFaults(f standin.KVFaults) { b.postAdmin(b.kv, "faults", f) }
 
-func (b *bench) state(n *node) entry.State {
+func (b *testbed) state(n *node) entry.State {
 	var s entry.State
-	_ = get("http://"+n.operators+"/debug/state", token, &s)
+	_ = getJSON("http://"+n.operators+"/debug/state", token, &s)
 	return s
 }
 
-// eventually waits for a condition, with a bound.
-func (b *bench) eventually(what string, ok func() bool) {
+// eventually polls a condition and fails the test after eventuallyTimeout.
+func (b *testbed) eventually(what string, ok func() bool) {
 	b.t.Helper()
-	deadline := time.Now().Add(patience)
-	tick := time.NewTicker(pollEvery)
+	deadline := time.Now().Add(eventuallyTimeout)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !ok() {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("not so within %s: %s", patience, what)
+			b.t.Fatalf("condition not met within %s: %s", eventuallyTimeout, what)
 		}
 		<-tick.C
 	}
 }
 
-// runs adds up how often each key was run over all servers of the service.
-func (b *bench) runs() map[string]int {
+// runCounts returns how often each idempotency key was executed, over all servers of the service.
+func (b *testbed) runCounts() map[string]int {
 	out := map[string]int{}
 	for _, addr := range b.services {
-		one := map[string]int{}
-		_ = get("http://"+addr+"/admin/runs", "", &one)
-		for k, n := range one {
+		counts := map[string]int{}
+		_ = getJSON("http://"+addr+"/admin/runs", "", &counts)
+		for k, n := range counts {
 			out[k] += n
 		}
 	}
 	return out
 }
 
-func (b *bench) inForce(version int64) operator.RolloutStatus {
-	var f operator.RolloutStatus
-	_ = get(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &f)
-	return f
+func (b *testbed) rolloutStatus(version int64) operator.RolloutStatus {
+	var status operator.RolloutStatus
+	_ = getJSON(fmt.Sprintf("http://%s/v1/inforce?version=%d", b.controls[0], version), token, &status)
+	return status
 }
 
-// reply is what a caller saw.
-type reply struct {
-	status  int
-	outcome string
-	key     string
-	retry   string
-	body    string   // of a whole answer or an error
-	tokens  []string // of a stream
-	ids     []int
-	whole   bool // the stream came to its end mark
-	err     error
-	took    time.Duration
-	header  http.Header
+// response is what a caller received.
+type response struct {
+	status     int
+	outcome    string
+	key        string
+	retryAfter string
+	body       string   // of a non-streamed response or an error
+	tokens     []string // content of each stream event
+	eventIDs   []int
+	complete   bool // the stream ended with [DONE]
+	err        error
+	duration   time.Duration
+	header     http.Header
 }
 
-// ask describes a request.
-type ask struct {
-	path   string
-	body   string
-	bearer string
-	header map[string]string
-	tokens chan<- int    // told the id of each token, when not nil
-	limit  time.Duration // the caller gives up after it; callerLimit when 0
+type request struct {
+	path     string
+	body     string
+	bearer   string
+	header   map[string]string
+	tokenIDs chan<- int    // receives the event ID of each token if not nil
+	timeout  time.Duration // callerTimeout if 0
 }
 
-// callerLimit ends every call, so that no test hangs on a frozen process.
-const callerLimit = 60 * time.Second
+// callerTimeout keeps a test from hanging on a stopped process.
+const callerTimeout = 60 * time.Second
 
 var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// send makes a request of node n and reads its answer to the end.
-func (n *node) send(a ask) reply {
-	began := time.Now()
-	limit := a.limit
-	if limit == 0 {
-		limit = callerLimit
+// send posts a request to node n and reads the response to its end.
+func (n *node) send(req request) response {
+	start := time.Now()
+	timeout := req.timeout
+	if timeout == 0 {
+		timeout = callerTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+a.path, strings.NewReader(a.body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callers+req.path, strings.NewReader(req.body))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
-	req.Header.Set("Authorization", "Bearer "+a.bearer)
-	for k, v := range a.header {
-		req.Header.Set(k, v)
+	httpReq.Header.Set("Authorization", "Bearer "+req.bearer)
+	for k, v := range req.header {
+		httpReq.Header.Set(k, v)
 	}
-	resp, err := callerClient.Do(req)
+	resp, err := callerClient.Do(httpReq)
 	if err != nil {
-		return reply{err: err, took: time.Since(began)}
+		return response{err: err, duration: time.Since(start)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r := reply{
+	r := response{
 		status: resp.StatusCode, outcome: resp.Header.Get("Crankridge-Outcome"), key: resp.Header.Get("Idempotency-Key"),
-		retry: resp.Header.Get("Retry-After-Ms"), header: resp.Header,
+		retryAfter: resp.Header.Get("Retry-After-Ms"), header: resp.Header,
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		r.readStream(resp.Body, a.tokens)
+		r.readStream(resp.Body, req.tokenIDs)
 	} else {
 		raw, err := io.ReadAll(resp.Body)
 		r.body, r.err = string(raw), err
 	}
-	r.took = time.Since(began)
+	r.duration = time.Since(start)
 	return r
 }
 
-func chat(prompt string, maxTokens int, stream bool) ask {
+func chatRequest(prompt string, maxTokens int, stream bool) request {
 	body, _ := json.Marshal(map[string]any{
 		"model": "climb", "max_tokens": maxTokens, "stream": stream,
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
-	return ask{path: "/v1/chat/completions", body: string(body), bearer: rideKey, header: map[string]string{}}
+	return request{path: "/v1/chat/completions", body: string(body), bearer: rideKey, header: map[string]string{}}
 }
 
-func booking(key string) ask {
-	return ask{path: "/v1/services/booking/chairs", body: `{"chair":3}`, bearer: clinicKey, header: map[string]string{"Idempotency-Key": key}}
+func bookingRequest(key string) request {
+	return request{path: "/v1/services/booking/chairs", body: `{"chair":3}`, bearer: clinicKey, header: map[string]string{"Idempotency-Key": key}}
 }
 
-func (a ask) with(name, value string) ask {
+func (r request) withHeader(name, value string) request {
 	h := map[string]string{name: value}
-	for k, v := range a.header {
+	for k, v := range r.header {
 		if k != name {
 			h[k] = v
 		}
 	}
-	a.header = h
-	return a
+	r.header = h
+	return r
 }
 
-// gather runs n functions at once and waits for all.
-func gather(n int, each func(i int)) {
+// runConcurrently calls each for 0 to n-1 in n goroutines and waits for them.
+func runConcurrently(n int, each func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { each(i) })
