--- a/src/catalog/snapshot.go
+++ b/src/catalog/snapshot.go
@@ -76,7 +76,7 @@
 type Target struct {
 	FirstToken time.Duration // 0 if none is set
 	Priority   int
-	Share      int // weight among customers
+	Weight     int // weight among customers
 }
 
 // EventPriority is the lowest priority of requests of an event in force. All
@@ -85,7 +85,7 @@
 
 // TargetOf returns the target of a customer at now.
 func (s *Snapshot) TargetOf(customer Resource, now time.Time) Target {
-	t := Target{Priority: customer.Customer.Priority, Share: customer.Customer.Weight}
+	t := Target{Priority: customer.Customer.Priority, Weight: customer.Customer.Weight}
 	for _, ev := range s.Events {
 		if now.Before(ev.Event.Start) || !now.Before(ev.Event.End) {
 			continue
@@ -105,6 +105,6 @@
 		t.FirstToken = firstToken
 	}
 	t.Priority = max(t.Priority, priority)
-	t.Share = max(t.Share, c.Share)
+	t.Weight = max(t.Weight, c.Share)
 	return t
 }
--- a/src/serve/queues.go
+++ b/src/serve/queues.go
@@ -269,7 +269,7 @@
 		return nil, engineSlot{}, overloadedAnswer(over)
 	}
 	entry := &admit.Entry{
-		Customer: req.Customer, Weight: req.Target.Share, Priority: req.Target.Priority, Cost: 1, Bytes: w.promptBytes, EnqueuedAt: qs.coord.Now(), Value: w,
+		Customer: req.Customer, Weight: req.Target.Weight, Priority: req.Target.Priority, Cost: 1, Bytes: w.promptBytes, EnqueuedAt: qs.coord.Now(), Value: w,
 	}
 	if w.resuming {
 		q.queue.PushUnbounded(entry)
@@ -300,7 +300,7 @@
 		slots += c.Slots
 	}
 	rate := slots / q.holdSeconds / float64(max(nodes, 1))
-	ahead := q.queue.CostAhead(req.Customer, req.Target.Share, req.Target.Priority)
+	ahead := q.queue.CostAhead(req.Customer, req.Target.Weight, req.Target.Priority)
 	return time.Duration((ahead + 1) / rate * float64(time.Second))
 }
 
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -284,9 +284,9 @@
 
 // CloudCost is the cost of all VMs so far.
 type CloudCost struct {
-	Bought  int     `json:"bought"` // VMs created through the API
-	Price   float64 `json:"price"`  // in the currency of the offers' hour price
-	Running int     `json:"living"` // VMs that are not terminated
+	Bought int     `json:"bought"` // VMs created through the API
+	Price  float64 `json:"price"`  // in the currency of the offers' hour price
+	Active int     `json:"living"` // VMs that are not terminated
 }
 
 func (c *Cloud) serveCost(w http.ResponseWriter, _ *http.Request) {
@@ -295,7 +295,7 @@
 	out := CloudCost{Bought: c.createdVMs, Price: c.terminatedCost}
 	for _, vm := range c.vms {
 		if vm.State != ports.VMTerminated {
-			out.Running++
+			out.Active++
 			out.Price += time.Since(vm.created).Hours() * vm.HourPrice
 		}
 	}
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -324,7 +324,7 @@
 func TestPlannerFrozenPastItsLease(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
-	b.eventually("the planner has bought the required VMs", func() bool { return b.cloudCost().Running >= 3+3 })
+	b.eventually("the planner has bought the required VMs", func() bool { return b.cloudCost().Active >= 3+3 })
 	leader := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
 	oldEpoch := b.controlState(leader).Epoch
 	b.ctlProcs[leader].signal(syscall.SIGSTOP)
@@ -337,7 +337,7 @@
 	})
 	is.True(!b.controlState(leader).Leading)
 	// climb needs 5 servers after the loss of a domain: 3 + 3 + 2 in 3 domains.
-	running := b.cloudCost().Running - 3
+	running := b.cloudCost().Active - 3
 	is.Equal(running, 8)
 	is.Equal(b.cloudCost().Bought, running) // none bought in excess, none released
 }
@@ -375,9 +375,9 @@
 		if !leader.Leading {
 			leader = b.controlState(1)
 		}
-		return leader.Leading && len(leader.Intents) == 6 && b.cloudCost().Running == 3+6
+		return leader.Leading && len(leader.Intents) == 6 && b.cloudCost().Active == 3+6
 	})
-	is.Equal(b.cloudCost().Running, 9)
+	is.Equal(b.cloudCost().Active, 9)
 }
 
 // A failure domain is reclaimed as an event starts while replacements are refused:
