--- a/src/admit/admit_test.go
+++ b/src/admit/admit_test.go
@@ -137,7 +137,7 @@
 	is := is.New(t)
 	l := NewLimiter("a")
 	at := time.Unix(100, 0)
-	l.MergeDemand(Demand{"b", "c", 0, at})
+	l.MergeDemand(Demand{"b", "c", 0, at}) // no requests of customer c at node b
 	for i := range 1000 {
 		l.Allow("c", 10, 2, at.Add(time.Duration(10*i)*time.Millisecond))
 		if i == 10 {
@@ -145,9 +145,9 @@
 		}
 	}
 	at = at.Add(10 * time.Second)
-	is.True(l.localLimit("c", 10, 2, at) > 8) // no demand at other nodes
-	l.MergeDemand(Demand{"b", "c", 100000, at.Add(time.Second)})
-	l.MergeDemand(Demand{"b", "c", 0, at}) // an older reading is ignored
+	is.True(l.localLimit("c", 10, 2, at) > 8)                    // no demand at other nodes
+	l.MergeDemand(Demand{"b", "c", 100000, at.Add(time.Second)}) // far more than at this node
+	l.MergeDemand(Demand{"b", "c", 0, at})                       // an older reading is ignored
 	for i := range 10 {
 		l.localLimit("c", 10, 2, at.Add(time.Duration(i)*time.Second))
 	}
--- a/src/admit/limit.go
+++ b/src/admit/limit.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	demandHalfLife   = 2 * time.Second
-	demandExpiry     = 30 * time.Second
-	burstSeconds     = 1.0
-	minShareFraction = 0.2             // fraction of an even share that a node keeps at any demand
-	shareHalfLife    = 2 * time.Second // half-life of the distance to a new share
-	maxShareInterval = time.Second     // longest time that one share update accounts for
+	demandHalfLife   = 2 * time.Second  // of the sum from which a request rate is measured
+	demandExpiry     = 30 * time.Second // the reading of a node that is not live is used for this long
+	burstSeconds     = 1.0              // seconds of the rate that a bucket holds
+	minShareFraction = 0.2              // fraction of an even share that a node keeps at any demand
+	shareHalfLife    = 2 * time.Second  // half-life of the distance to a new share
+	maxShareInterval = time.Second      // longest time that one share update accounts for
 )
 
-// Demand is one customer's request rate as measured at one node.
+// Demand is a reading of one customer's request rate, measured at one node.
 type Demand struct {
 	Node     string
 	Customer string
@@ -43,6 +43,7 @@
 	updatedAt time.Time
 }
 
+// meter measures a request rate by a decaying sum.
 type meter struct {
 	rate      float64
 	updatedAt time.Time
@@ -59,8 +60,8 @@
 }
 
 // Allow counts one request of a customer against limit, in requests per second
-// over all nodes; 0 means no limit. If the request is not allowed, retry is the
-// time until the next one is.
+// over all nodes; 0 means no limit. nodes is the number of nodes that share the
+// limit. If the request is not allowed, retry is the time until the next one is.
 func (l *Limiter) Allow(customer string, limit float64, nodes int, now time.Time) (ok bool, retry time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/admit/queue.go
+++ b/src/admit/queue.go
@@ -16,12 +16,12 @@
 // Entry is one waiting request.
 type Entry struct {
 	Customer   string
-	Weight     int // weight of the customer, at least 1
-	Priority   int
+	Weight     int     // weight of the customer, at least 1
+	Priority   int     // the highest value goes first, unlike in SharedLimiter
 	Cost       float64 // in any unit that is the same for all entries
 	Bytes      int
 	EnqueuedAt time.Time
-	Value      any
+	Value      any // the caller's request; not used by the queue
 
 	virtualFinish float64 // virtual finish time under fair queueing
 	seq           int64
--- a/src/admit/shared.go
+++ b/src/admit/shared.go
@@ -9,11 +9,11 @@
 const (
 	peerTimeout          = 700 * time.Millisecond // after which a silent peer is charged an even share
 	aggregateTimeout     = 2 * time.Second        // the same for the sum of all peers
-	aggregateDelay       = 600 * time.Millisecond // typical time until an admission is in the sum of all peers
+	aggregateDelay       = 600 * time.Millisecond // typical time until an admission at a peer is in the sum of all peers
 	maxRefillInterval    = 2 * time.Second        // longest time that one refill accounts for
-	exchangeDelay        = 400 * time.Millisecond // typical time until single peers learn of an admission
-	recentTimeConstant   = time.Second            // of the moving averages of recent admissions
-	maxExtrapolatedPeers = 8                      // peers assumed to admit as much as this node
+	exchangeDelay        = 400 * time.Millisecond // typical time until an admission at a peer is in that peer's report
+	recentTimeConstant   = time.Second            // of the decaying sums of recent admissions
+	maxExtrapolatedPeers = 8                      // at most this many peers are assumed to admit as much as this node
 )
 
 // Tolerance is the amount by which a limit may be exceeded within a window.
@@ -22,20 +22,20 @@
 type Tolerance struct {
 	Window  time.Duration // in which the burst may be used once
 	Overage float64       // allowed excess as a fraction of rate and burst in a window
-	Slack   float64       // further absolute excess allowed in a window
+	Slack   float64       // further absolute excess allowed in a window, in the unit of the costs
 }
 
 // Fractions of the tolerance, the limits and the bucket depth.
 const (
 	reportThreshold        = 0.01      // part of one second's rate after which a node reports early
-	localCapBelow          = 0.5       // part of the depth below which a node is held to its local cap
-	localDepthFraction     = 0.3       // part of a node's share of the depth that it may use in a burst
+	localCapBelow          = 0.5       // part of the depth below which a node is held to its local cap, where the peers are known as one sum
+	localDepthFraction     = 0.3       // depth of the bucket of the local cap, as part of localCap(depth)
 	burstDepthFraction     = 0.5       // part of the burst in the depth; the rest is in the fill rate
 	slackDepthFraction     = 0.25      // part of the slack in the depth
 	initialFillFraction    = 0.3       // initial level as part of the depth: earlier admissions are unknown
 	toleranceUsed          = 0.4       // used part of overage and slack
 	toleranceUsedAggregate = 0.15      // the same where the peers are known as one sum, which arrives later
-	priorityReserve        = 0.1       // part of the depth reserved for each step of priority
+	priorityReserve        = 0.1       // part of the depth that each step to a lower priority must leave
 	maxPriorityReserve     = 0.45      // bound on the reserve, as part of the depth
 	smallCostFraction      = 1.0 / 250 // part of the depth up to which a request counts as small
 	smallOverdraftFraction = 0.25      // part of the depth that small requests may overdraw
@@ -73,7 +73,7 @@
 	recentLocal  float64 // decaying sum of this node's admissions
 	unreported   float64 // this node's admissions since the last call of Totals
 	recentRemote float64 // decaying sum of the admissions that peers reported
-	localLevel   float64 // level of this node's local cap, used where the peers are known as one sum
+	localLevel   float64 // level of a second bucket, which holds this node to its local cap (localCapBelow)
 }
 
 // peerTotals is the last report of a peer.
@@ -174,9 +174,10 @@
 }
 
 // Take admits a request of the given cost under a customer's rate (per second)
-// and burst. Unlike in Queue, priority 0 is the highest; a request of a lower
-// priority (a higher value) leaves a larger reserve in the bucket. If the request
-// is refused, wait is the time until one like it is admitted.
+// and burst, all in the same unit: requests or tokens. Unlike in Queue, priority 0
+// is the highest; a request of a lower priority (a higher value) leaves a larger
+// reserve in the bucket. If the request is refused, wait is the time until one like
+// it is admitted.
 func (l *SharedLimiter) Take(customer string, cost float64, priority int, rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/src/claim/attempts.go
+++ b/src/claim/attempts.go
@@ -102,12 +102,12 @@
 	return current.state
 }
 
-// Expire removes attempts that ended more than window ago.
-func (a *Attempts) Expire(now time.Time, window time.Duration) {
+// Expire removes attempts that ended more than retention ago.
+func (a *Attempts) Expire(now time.Time, retention time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for id, s := range a.states {
-		if s.state != Claiming && s.state != Sent && now.Sub(s.since) > window {
+		if s.state != Claiming && s.state != Sent && now.Sub(s.since) > retention {
 			delete(a.states, id)
 		}
 	}
--- a/src/claim/claim_test.go
+++ b/src/claim/claim_test.go
@@ -322,7 +322,7 @@
 }
 
 // No key is sent twice, and no attempt reported as not run is sent, under any
-// interleaving of deliveries, losses, epoch changes, restarts and pauses.
+// interleaving of deliveries, losses, map changes, restarts and retries.
 func TestAtMostOnceUnderAnyInterleaving(t *testing.T) {
 	sends := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/src/claim/decide.go
+++ b/src/claim/decide.go
@@ -19,7 +19,7 @@
 	Stored   int
 	Failed   int      // no reply, not ready, or full
 	Stale    int      // the claim's epoch has ended
-	Holders  []Record // records of keepers at which another attempt holds the key
+	Holders  []Record // records of the key, from the keepers at which another attempt holds it
 }
 
 // Add counts a reply; nil means that none was received.
@@ -47,9 +47,9 @@
 	case t.Stored >= t.Required:
 		return Granted
 	case t.Stored+pending >= t.Required && pending > 0:
-		return Wait
+		return Wait // the attempt can still be granted
 	case pending > 0 && len(t.Holders) == 0:
-		return Wait
+		return Wait // it cannot, but a pending reply may name a rival attempt
 	case len(t.Holders) > 0:
 		return Contested
 	case t.Stale > 0:
--- a/src/claim/ledger.go
+++ b/src/claim/ledger.go
@@ -14,7 +14,7 @@
 	Incarnation string
 	Addr        string // peer listener of the coordinator
 	Engine      string // engine that runs the stream, for a completion
-	Stream      string
+	Stream      string // ID of the stream at the engine
 }
 
 // Record is a keeper's record of one key. It lists several attempts only if a
@@ -22,11 +22,11 @@
 // granted.
 type Record struct {
 	Key        string
-	Digest     []byte
+	Digest     []byte // hash of the request, by which the reuse of its key for another one is detected
 	Attempts   []Attempt
 	Repeatable bool
-	Answer     []byte
-	CreatedMS  int64 // Unix time, ms
+	Answer     []byte // encoded by request.Answer.Encode; nil if there is none
+	CreatedMS  int64  // Unix time, ms
 }
 
 // Verdict is a keeper's response to a claim.
@@ -46,7 +46,7 @@
 	Shard      int
 	Epoch      int64
 	Key        string
-	Digest     []byte
+	Digest     []byte // see Record
 	Attempt    Attempt
 	Repeatable bool
 	// Superseded lists attempts known to be released or, for repeatable
@@ -58,12 +58,12 @@
 type Reply struct {
 	Verdict Verdict
 	Epoch   int64
-	Held    *Record
+	Held    *Record // record of the key if the verdict is Held
 }
 
 // Limits bound a ledger.
 type Limits struct {
-	Window      time.Duration // retention time of a record
+	Window      time.Duration // for which a record is kept after its creation
 	MaxRecords  int           // claims for new keys are refused from here on; a handover may exceed it
 	AnswerBytes int           // larger answers are not stored
 }
@@ -90,12 +90,12 @@
 }
 
 func (l *Ledger) shard(i int) *shardState {
-	k := l.shards[i]
-	if k == nil {
-		k = &shardState{records: map[string]*Record{}}
-		l.shards[i] = k
+	s := l.shards[i]
+	if s == nil {
+		s = &shardState{records: map[string]*Record{}}
+		l.shards[i] = s
 	}
-	return k
+	return s
 }
 
 // Observe applies a shard map. It returns the shards for which this node is a
@@ -109,20 +109,20 @@
 		if !keeper && l.shards[i] == nil {
 			continue
 		}
-		k := l.shard(i)
-		if assignment.Epoch < k.assignment.Epoch {
+		s := l.shard(i)
+		if assignment.Epoch < s.assignment.Epoch {
 			continue
 		}
-		k.assignment = assignment
-		k.sealedEpoch = max(k.sealedEpoch, assignment.Epoch)
+		s.assignment = assignment
+		s.sealedEpoch = max(s.sealedEpoch, assignment.Epoch)
 		if !keeper {
 			continue
 		}
-		if len(assignment.Source) == 0 && !assignment.Active || assignment.Epoch == 1 && k.readyEpoch == 0 {
+		if len(assignment.Source) == 0 && !assignment.Active || assignment.Epoch == 1 && s.readyEpoch == 0 {
 			// First epoch, or an epoch that starts without records.
-			k.readyEpoch = assignment.Epoch
+			s.readyEpoch = assignment.Epoch
 		}
-		if k.readyEpoch < assignment.Epoch {
+		if s.readyEpoch < assignment.Epoch {
 			missing = append(missing, i)
 		}
 	}
@@ -139,21 +139,21 @@
 func (l *Ledger) Vote(c Claim, now time.Time) Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.shard(c.Shard)
+	s := l.shard(c.Shard)
 	switch {
-	case c.Epoch < k.sealedEpoch:
-		return Reply{Verdict: StaleEpoch, Epoch: k.sealedEpoch}
-	case c.Epoch != k.assignment.Epoch || k.readyEpoch != c.Epoch || !k.assignment.Active || !l.isKeeper(k.assignment):
-		return Reply{Verdict: NotReady, Epoch: k.assignment.Epoch}
+	case c.Epoch < s.sealedEpoch:
+		return Reply{Verdict: StaleEpoch, Epoch: s.sealedEpoch}
+	case c.Epoch != s.assignment.Epoch || s.readyEpoch != c.Epoch || !s.assignment.Active || !l.isKeeper(s.assignment):
+		return Reply{Verdict: NotReady, Epoch: s.assignment.Epoch}
 	}
-	rec := k.records[c.Key]
+	rec := s.records[c.Key]
 	if rec == nil {
 		if l.records >= l.limits.MaxRecords {
 			return Reply{Verdict: Full, Epoch: c.Epoch}
 		}
 		l.records++
 		rec = &Record{Key: c.Key, Digest: c.Digest, Repeatable: c.Repeatable, CreatedMS: now.UnixMilli()}
-		k.records[c.Key] = rec
+		s.records[c.Key] = rec
 	}
 	return rec.vote(c)
 }
@@ -180,19 +180,19 @@
 	return &c
 }
 
-// Settle stores the end of an attempt, either released or with its answer.
+// Settle stores the end of an attempt: that it was released, or its answer.
 func (l *Ledger) Settle(shard int, key, attempt string, released bool, answer []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.shard(shard)
-	rec := k.records[key]
+	s := l.shard(shard)
+	rec := s.records[key]
 	if rec == nil || !slices.ContainsFunc(rec.Attempts, func(a Attempt) bool { return a.ID == attempt }) {
 		return
 	}
 	if released {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(a Attempt) bool { return a.ID == attempt })
 		if len(rec.Attempts) == 0 {
-			delete(k.records, key)
+			delete(s.records, key)
 			l.records--
 		}
 		return
@@ -233,12 +233,12 @@
 func (l *Ledger) Seal(shard int, epoch int64) (readyEpoch int64, records []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.shard(shard)
-	k.sealedEpoch = max(k.sealedEpoch, epoch)
-	for _, r := range k.records {
+	s := l.shard(shard)
+	s.sealedEpoch = max(s.sealedEpoch, epoch)
+	for _, r := range s.records {
 		records = append(records, *r.copy())
 	}
-	return k.readyEpoch, records
+	return s.readyEpoch, records
 }
 
 // Adopt merges the records of sealed keepers and marks the shard ready at
@@ -248,24 +248,24 @@
 func (l *Ledger) Adopt(shard int, epoch int64, sources ...[]Record) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.shard(shard)
-	if k.assignment.Epoch != epoch {
+	s := l.shard(shard)
+	if s.assignment.Epoch != epoch {
 		return false
 	}
 	for _, recs := range sources {
 		for _, r := range recs {
-			l.merge(k, r)
+			l.merge(s, r)
 		}
 	}
-	k.readyEpoch = max(k.readyEpoch, epoch)
+	s.readyEpoch = max(s.readyEpoch, epoch)
 	return true
 }
 
-func (l *Ledger) merge(k *shardState, r Record) {
-	existing := k.records[r.Key]
+func (l *Ledger) merge(s *shardState, r Record) {
+	existing := s.records[r.Key]
 	if existing == nil {
 		l.records++
-		k.records[r.Key] = r.copy()
+		s.records[r.Key] = r.copy()
 		return
 	}
 	for _, a := range r.Attempts {
@@ -283,23 +283,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[int]int64{}
-	for i, k := range l.shards {
-		if l.isKeeper(k.assignment) {
-			out[i] = k.readyEpoch
+	for i, s := range l.shards {
+		if l.isKeeper(s.assignment) {
+			out[i] = s.readyEpoch
 		}
 	}
 	return out
 }
 
-// Expire removes records older than the window and returns the number left.
+// Expire removes records older than Limits.Window and returns the number left.
 func (l *Ledger) Expire(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := now.Add(-l.limits.Window).UnixMilli()
-	for _, k := range l.shards {
-		for key, r := range k.records {
+	for _, s := range l.shards {
+		for key, r := range s.records {
 			if r.CreatedMS < oldest {
-				delete(k.records, key)
+				delete(s.records, key)
 				l.records--
 			}
 		}
--- a/src/claim/shardmap.go
+++ b/src/claim/shardmap.go
@@ -7,7 +7,8 @@
 // request once two keepers of one epoch have stored it as the holder of its
 // key. A keeper stores one attempt per key and refuses claims for ended epochs.
 // Any two majorities of three share a keeper, so at most one attempt is granted,
-// without relying on clocks. See docs/design/at-most-once.md for the proof.
+// without relying on clocks. The coordinator of an attempt is the node that makes
+// the attempt. See docs/design/at-most-once.md for the proof.
 package claim
 
 import (
--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -15,9 +15,9 @@
 
 // Limits of the exchange.
 const (
-	exchangeInterval  = 250 * time.Millisecond
+	exchangeInterval  = 250 * time.Millisecond // between rounds, except at nodes that use a hub (nodeInterval)
 	callTimeout       = 800 * time.Millisecond
-	fanout            = 8                // peers contacted per round
+	fanout            = 8                // known nodes contacted per round
 	minKnownNodes     = 3                // with fewer other nodes known, all seeds are contacted as well
 	roundsPerSeed     = 8                // rounds between contacts with a seed once enough nodes are known
 	maxRelayedRecords = 12               // records of other nodes in one message
@@ -30,9 +30,9 @@
 type Node struct {
 	Members *Members
 	View    *view.View
-	Own     func() *Record // returns this node's current record
-	Seeds   func() []string
-	Entries func() []Entry // nodes with an entry in the store, including this one
+	Own     func() *Record  // returns this node's current record
+	Seeds   func() []string // peer addresses to contact besides the known nodes
+	Entries func() []Entry  // nodes with an entry in the store, including this one
 	// NeedsAllRecords reports whether this node needs the records of all other
 	// nodes even if none requests a summary from it. nil means never.
 	NeedsAllRecords func() bool
--- a/src/cluster/hub.go
+++ b/src/cluster/hub.go
@@ -10,16 +10,17 @@
 // In a small system, every node exchanges records with every other node. In a
 // large one, a node sends its record to the hub of its failure domain and receives
 // a summary of the other nodes; hubs exchange the records that they receive. A
-// node becomes a hub when another node requests a summary from it.
+// node acts as a hub while other nodes request summaries from it, and while it needs
+// all records itself (Node.NeedsAllRecords).
 const (
 	maxFlatNodes     = 16                     // nodes of the largest system without hubs
-	nodeInterval     = 500 * time.Millisecond // between rounds of a node that is not a hub
-	minRoundInterval = 60 * time.Millisecond  // between a round and one that was triggered
+	nodeInterval     = 500 * time.Millisecond // between the exchange rounds of a node that is not a hub
+	minRoundInterval = 60 * time.Millisecond  // between the start of a round and a triggered one
 	hubTTL           = 3 * time.Second        // a node acts as a hub for this long after a summary was requested
 	avoidPeriod      = 3 * time.Second        // a node is not selected as a hub for this long after a failed call
 )
 
-// Entry is the address of a node as registered in the store.
+// Entry is a node as registered in the store.
 type Entry struct {
 	Node          string
 	FailureDomain string
@@ -65,14 +66,14 @@
 }
 
 // hubTargets returns the targets of the node self in a large system: the hub of its
-// domain and, if it needs all records, the hubs of all domains.
-func hubTargets(self string, domain string, entries []Entry, avoided func(node string) bool, needsAll bool) []target {
+// domain and, if self acts as a hub or is selected as one, the hubs of all domains.
+func hubTargets(self string, domain string, entries []Entry, avoided func(node string) bool, isHub bool) []target {
 	var out []target
 	own, _ := selectHub(entries, domain, avoided)
 	if own.Node != self && own.Node != "" {
 		out = append(out, target{own.Node, own.Peers, Scope_SUMMARY})
 	}
-	if !needsAll && own.Node != self {
+	if !isHub && own.Node != self {
 		return out
 	}
 	for _, other := range failureDomains(entries) {
--- a/src/cluster/members.go
+++ b/src/cluster/members.go
@@ -1,7 +1,8 @@
 // Package cluster distributes each gateway node's record, and changes of the store,
 // among the nodes: directly, or relayed by others for nodes that cannot reach each
-// other. The records are used to balance load and to divide limits. Which node
-// performs the duties never depends on them; a lease in the store decides it.
+// other. The records are used to balance load and to enforce limits over all nodes.
+// Which node reports usage and orders servers is decided by a lease in the store,
+// never by the records (see package duty).
 package cluster
 
 import (
@@ -10,19 +11,19 @@
 	"time"
 )
 
-// Times since a node was last heard from.
+// Limits on the time since a node was last heard from.
 const (
-	aliveTimeout   = 2 * time.Second        // limit for being offered to clients
-	silenceTimeout = 600 * time.Millisecond // limit for not being considered silent
-	countedTimeout = 10 * time.Second       // limit for having a share of limits
-	forgetTimeout  = 60 * time.Second       // limit for being remembered
-	clockSampleTTL = 20 * time.Second       // limit for using its clock in AgreedTime
+	aliveTimeout   = 2 * time.Second        // clients are sent to the node, and Direct includes it, until then
+	silenceTimeout = 600 * time.Millisecond // the node is silent after that
+	countedTimeout = 10 * time.Second       // Count, AllHeard and summaries include the node until then
+	forgetTimeout  = 60 * time.Second       // the node's record is dropped after that
+	clockSampleTTL = 20 * time.Second       // AgreedTime uses the node's clock until then
 )
 
 // Member is a known node.
 type Member struct {
 	Record *Record
-	Heard  time.Time // when its record last advanced
+	Heard  time.Time // when its record was last replaced by a newer one
 }
 
 // Members holds the known nodes, including this one.
@@ -64,8 +65,9 @@
 // whether it did.
 func (m *Members) Merge(r *Record) bool { return m.MergeAged(r, 0) }
 
-// MergeAged merges a relayed record that advanced age ago. Records older than
-// forgetTimeout are ignored, so that forgotten nodes do not reappear.
+// MergeAged is Merge for a relayed record that was last replaced by a newer one the
+// given time ago. Records older than forgetTimeout are ignored, so that forgotten
+// nodes do not reappear.
 func (m *Members) MergeAged(r *Record, age time.Duration) bool {
 	if r == nil || r.Node == "" || age >= forgetTimeout {
 		return false
@@ -118,7 +120,7 @@
 	}
 }
 
-// Age returns the time since a member's record last advanced.
+// Age returns the time since a member's record was last replaced by a newer one.
 func (m *Members) Age(member Member) time.Duration { return max(m.now().Sub(member.Heard), 0) }
 
 // Known returns the incarnation and sequence number of each known record.
@@ -144,8 +146,8 @@
 	return &Known{Node: r.GetNode(), Incarnation: known.Record.Incarnation, Sequence: known.Record.Sequence}
 }
 
-// Lacking returns up to limit members whose records peer does not know, or knows
-// only in a version that lags by more than relayLagThreshold.
+// Lacking returns up to limit members whose records are missing from known, the
+// records that peer has, or lag there by more than relayLagThreshold updates.
 func (m *Members) Lacking(known []*Known, peer string, limit int) []Member {
 	have := make(map[string]*Known, len(known))
 	for _, k := range known {
@@ -202,7 +204,9 @@
 	return slices.DeleteFunc(m.Others(aliveTimeout), func(r *Record) bool { return r.Leaving || !r.Ready })
 }
 
-// Count returns the number of nodes, including this one, that share limits.
+// Count returns the number of nodes, including this one, heard from within
+// countedTimeout, or the number in a hub's recent summary if that is higher. Limits
+// are divided by Roster.Count instead.
 func (m *Members) Count() int {
 	known := len(m.Others(countedTimeout)) + 1
 	m.mu.Lock()
@@ -256,7 +260,8 @@
 	return m.steadyTime(at).Add(offsets[len(offsets)/2])
 }
 
-// AllHeard reports whether none of the counted nodes is currently silent.
+// AllHeard reports whether every node heard from within countedTimeout was also
+// heard from within silenceTimeout.
 func (m *Members) AllHeard() bool {
 	return len(m.Others(countedTimeout)) == len(m.Others(silenceTimeout))
 }
--- a/src/cluster/members_test.go
+++ b/src/cluster/members_test.go
@@ -47,7 +47,7 @@
 	is.True(m.AllHeard())
 	now = now.Add(aliveTimeout + time.Millisecond)
 	is.Equal(len(m.Alive()), 0)
-	is.Equal(m.Count(), 4) // silent nodes still have a share of limits
+	is.Equal(m.Count(), 4) // silent nodes are counted until countedTimeout
 	is.True(!m.AllHeard())
 	now = now.Add(countedTimeout)
 	is.Equal(m.Count(), 1)
@@ -142,7 +142,7 @@
 	m.MergeAged(&Record{Node: "silent", Incarnation: 1, Sequence: 5, Ready: true}, 3*aliveTimeout)
 	m.MergeAged(&Record{Node: "heard", Incarnation: 1, Sequence: 5, Ready: true}, aliveTimeout/2)
 	is.Equal(len(m.Alive()), 1)
-	is.Equal(len(m.Others(countedTimeout)), 2) // still counted for limits and usage
+	is.Equal(len(m.Others(countedTimeout)), 2) // silent nodes are counted until countedTimeout
 	is.True(!m.MergeAged(&Record{Node: "long gone", Incarnation: 1}, forgetTimeout))
 }
 
--- a/src/duty/order.go
+++ b/src/duty/order.go
@@ -6,7 +6,7 @@
 type Order struct {
 	Service       string
 	FailureDomain string
-	Count         int
+	Count         int  // desired number of servers
 	Spot          bool // reclaimable servers
 }
 
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -55,7 +55,7 @@
 
 // leaseState is the state of this node's latest attempt to hold the lease.
 type leaseState struct {
-	lease     int64
+	lease     int64  // ID; 0 if there is none
 	nonce     string // value that identifies this node's write
 	fence     int64  // 0 until the key is known to hold the nonce
 	renewedAt time.Time
@@ -184,7 +184,7 @@
 
 // Close stops this node from holding the lease, permanently. It revokes a lease that
 // was held for at least the TTL, so that another node can acquire it at once. One
-// held for less is left to expire: otherwise a node that held the duties before could
+// held for less is left to expire: otherwise the previous holder could acquire it and
 // act again within a TTL of its own last call.
 func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
--- a/src/duty/term_test.go
+++ b/src/duty/term_test.go
@@ -12,10 +12,11 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
+// errLost is returned for a lost response and while the store is down.
 var errLost = errors.New("response lost")
 
 // memoryStore is an in-memory store with a settable clock. dropResponses makes
-// writes return an error after they were executed.
+// writes return an error after they were executed; down makes all calls fail.
 type memoryStore struct {
 	now           time.Time
 	revision      int64
@@ -117,7 +118,7 @@
 
 const testTTL = 3 * time.Second
 
-// action is one call made under a term, as received by the platform.
+// action records that a node was allowed to make calls under a term.
 type action struct {
 	holder string
 	fence  int64
--- a/src/duty/usage.go
+++ b/src/duty/usage.go
@@ -16,7 +16,7 @@
 	minSettleDelay      = 700 * time.Millisecond  // used when all nodes have been heard from recently
 	maxSettleDelay      = 2500 * time.Millisecond // allows for nodes that are silent
 	retryPeriod         = 4 * time.Second         // a report is retried for this long after it is due
-	reportedWindowsKept = 8                       // windows before the oldest retried one that stay in reported
+	reportedWindowsKept = 8                       // windows for which a reported one is remembered after its retry period
 	sealRetention       = 6                       // number of windows after which a seal is deleted
 )
 
@@ -86,9 +86,9 @@
 	Lease  *Lease
 	Store  Store
 	Sender UsageSender
-	Prefix string // of the keys of seals
-	Window time.Duration
-	Late   time.Duration    // time from the end of a window until its report is due
+	Prefix string           // of the keys of seals
+	Window time.Duration    // length of a window
+	Late   time.Duration    // delay from the end of a window until its report is due
 	Clock  func() time.Time // agreed time of the nodes
 	// AllHeard reports whether no node is currently silent. Windows are then
 	// sealed earlier, which loses fewer counts when many nodes are killed.
@@ -133,6 +133,8 @@
 
 func (u *UsageReporter) sealKey(window int64) string { return fmt.Sprintf("%s%d", u.Prefix, window) }
 
+// report seals and sends the counts of a window. It returns true if nothing is left
+// to do for the window.
 func (u *UsageReporter) report(ctx context.Context, window int64) bool {
 	counts, ok := u.seal(ctx, window)
 	if !ok {
@@ -171,6 +173,7 @@
 		if len(counts) == 0 {
 			return nil, true
 		}
+		// Create the seal without a lease, and delete that of an old window.
 		swap, err := u.Store.PutIf(ctx, u.sealKey(window), raw, 0, 0, u.sealKey(window-sealRetention))
 		if err != nil {
 			return nil, false
--- a/src/gateway/choose.go
+++ b/src/gateway/choose.go
@@ -51,8 +51,9 @@
 	return out
 }
 
-// leastLoaded picks the candidate with the lowest load. Ties go to the local
-// failure domain, then to a random candidate.
+// leastLoaded picks the candidate with the lowest load, treating loads that differ
+// by at most 0.5 as equal. Ties go to the local failure domain, then to a random
+// candidate.
 func leastLoaded(list []candidate, domain string, rng *rand.Rand) (candidate, bool) {
 	if len(list) == 0 {
 		return candidate{}, false
@@ -86,7 +87,8 @@
 }
 
 // uncachedTokens returns how many tokens of the prompt a candidate would have
-// to prefill. The owner is assumed to have the shared parts cached.
+// to prefill. owner is the id of the candidate that is assumed to have the shared
+// parts cached.
 func (p prompt) uncachedTokens(c candidate, owner string) int64 {
 	remaining := p.tokens
 	for i, part := range p.parts {
--- a/src/gateway/client_request.go
+++ b/src/gateway/client_request.go
@@ -21,7 +21,7 @@
 	body          []byte
 	arrived       time.Time
 	deadline      time.Time
-	routeDeadline time.Time
+	routeDeadline time.Time // by the route's timeout alone
 	promptParts   []promptPart
 	tokensIn      int64 // prompt tokens stated by the client
 	tokensOut     int64 // maximum output tokens stated by the client
--- a/src/gateway/forward.go
+++ b/src/gateway/forward.go
@@ -248,6 +248,8 @@
 	return &refusal{status: http.StatusServiceUnavailable, code: code, retryAfter: request.Jitter(retryAfter), logValues: f.budgetLogValues}
 }
 
+// log logs the end of a send or of the request. A success at the first send is
+// logged at verbosity 1 only.
 func (f *forwarder) log(what, server string, err error) {
 	if err == nil && f.sends == 1 && !klog.V(1).Enabled() {
 		return
--- a/src/gateway/node.go
+++ b/src/gateway/node.go
@@ -33,7 +33,7 @@
 // Keys in the store that the gateway owns.
 const (
 	ownPrefix    = "crankridge/"
-	nodePrefix   = ownPrefix + "nodes/"
+	nodePrefix   = ownPrefix + "nodes/" // the values are nodeEntry; those under member.Prefix, of the same text, are member.Node
 	dutyLeaseKey = ownPrefix + "duty"
 	usagePrefix  = ownPrefix + "usage/"
 )
@@ -42,7 +42,7 @@
 const (
 	stepInterval       = 250 * time.Millisecond
 	storeCheckInterval = 3 * time.Second
-	watchLagLimit      = 700 * time.Millisecond // time for a watch to deliver a change that a read has seen
+	watchLagLimit      = 700 * time.Millisecond // time for a watch to deliver a change that a read or a peer has seen
 	drainPeriod        = 3 * time.Second        // from the stop signal until new requests are refused
 	stopMargin         = 400 * time.Millisecond // left of the grace period when the node stops waiting for requests
 	clientIdleTimeout  = 2 * time.Minute
@@ -53,25 +53,25 @@
 
 // Node is one gateway process.
 type Node struct {
-	initial  Settings
+	initial  Settings // as at startup
 	platform Platform
 	store    Store
-	headers  traffic.Headers
+	headers  traffic.Headers // header names
 
-	view          *view.View
-	table         atomic.Pointer[traffic.Table]
+	view          *view.View                    // this node's copy of the store
+	table         atomic.Pointer[traffic.Table] // nil until a configuration has been applied
 	upstreams     *upstreamPool
-	members       *cluster.Members
-	roster        *cluster.Roster
-	peers         *cluster.Node
+	members       *cluster.Members // records of the known nodes
+	roster        *cluster.Roster  // nodes among which limits are divided
+	peers         *cluster.Node    // exchange with the other nodes
 	quota         *admit.SharedLimiter
 	retryBudget   *request.WindowBudget
-	usage         *usageCounter
-	ledger        *duty.Ledger
-	lease         *duty.Lease
+	usage         *usageCounter // requests executed through this node
+	ledger        *duty.Ledger  // requests executed through all nodes
+	lease         *duty.Lease   // entitles its holder to perform the duties
 	usageReporter *duty.UsageReporter
-	provisioner   *capacity.Provisioner
-	scaler        *scaler
+	provisioner   *capacity.Provisioner // sends orders for servers
+	scaler        *scaler               // demand data from which the orders are computed
 	cacheTracker  *cacheTracker
 	stalledConns  stalledConnDetector
 
@@ -85,7 +85,7 @@
 	rng            *rand.Rand
 	httpServers    []*http.Server
 	metrics        *telemetry.GatewayMetrics
-	current        atomic.Pointer[Settings]
+	current        atomic.Pointer[Settings] // as after the last reload
 
 	registration   registration             // owned by registerLoop, then by Run
 	decodedServers map[string]decodedServer // by key; owned by applyLoop
@@ -142,8 +142,8 @@
 
 func (n *Node) stopping() bool { return n.stopAt.Load() != 0 }
 
-// Reload applies changed limits, seeds and times. Names and listen addresses
-// are fixed at startup.
+// Reload applies changes of Retries.Ratio, Retries.Extra, Quota, Seeds, Grace and
+// AddressTTL. All other settings are fixed at startup.
 func (n *Node) Reload(settings Settings) {
 	n.retryBudget.SetLimits(settings.Retries.Ratio, settings.Retries.Extra)
 	n.quota.SetTolerance(admit.Tolerance(settings.Quota))
@@ -284,8 +284,9 @@
 	return 0
 }
 
-// chooseServer picks the server for the next send and returns how many tokens of
-// the prompt it will have to prefill.
+// chooseServer picks the server for the next send. It returns the server, how many
+// tokens of the prompt it will have to prefill, and false if there is no server to
+// send to. On sticky routes it also sets req.queuedTokens.
 func (n *Node) chooseServer(req *clientRequest, excluded map[string]bool) (*upstream, int64, bool) {
 	list := n.upstreams.candidates(req.service, excluded)
 	n.rngMu.Lock()
@@ -368,6 +369,8 @@
 	cancel()
 	grace := n.settings().Grace
 	deadline := start.Add(grace - stopMargin)
+	// For one more second after drainPeriod, late requests are still refused with a
+	// response instead of failing to connect.
 	minDrain := min(drainPeriod+time.Second, grace/2)
 	for time.Now().Before(deadline) {
 		if time.Since(start) > minDrain && n.openRequests.Load() == 0 {
--- a/src/gateway/scale.go
+++ b/src/gateway/scale.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	spotStartupMargin = 3 * time.Second         // added to the boot time on the first start
+	spotStartupMargin = 3 * time.Second         // beyond Scaling.Boot and listingDelay, for the first spot servers to arrive
 	listingDelay      = 3000 * time.Millisecond // time for all servers to be listed after the node has started
 )
 
@@ -25,7 +25,7 @@
 	meters         map[string]*capacity.DemandMeter // of this node, by service
 	peaks          map[string]*capacity.RollingMax  // of the required servers, by service
 	hadDemand      map[string]bool                  // whether the last step saw demand
-	initialServers map[string]int                   // highest number of servers of a service before the first demand
+	initialServers map[string]int                   // highest need of a service that was inferred from its servers while it had no demand
 }
 
 func newScaler() *scaler {
@@ -77,7 +77,7 @@
 }
 
 // requiredServers returns how many servers the demand at all nodes requires.
-// Before there is demand, it returns the initial number of servers.
+// Without demand, the number is inferred from the existing servers.
 func (n *Node) requiredServers(service traffic.Service, servers []traffic.Upstream) capacity.Need {
 	now := time.Now()
 	var tokenRate, prefillRate, running, samples float64
--- a/src/gateway/settings.go
+++ b/src/gateway/settings.go
@@ -1,6 +1,7 @@
 // Package gateway implements the data path: it accepts client requests, checks
 // keys and limits, chooses a server by route, relays its response, and retries or
-// resumes on another server where the route allows it.
+// resumes on another server where the route allows it. A server, here, is what other
+// packages call an upstream: a model engine or a server of a plain service.
 package gateway
 
 import (
@@ -54,11 +55,11 @@
 
 // DutyLimits configures the duties that one node at a time performs.
 type DutyLimits struct {
-	Usage       bool
-	Scale       bool
-	Lease       time.Duration
+	Usage       bool          // this node may report usage
+	Scale       bool          // this node may order servers
+	Lease       time.Duration // TTL of the duty lease
 	UsageWindow time.Duration
-	UsageLate   time.Duration
+	UsageLate   time.Duration // time from the end of a usage window until its report is due
 }
 
 // Store is the key-value service as used by the gateway.
--- a/src/gateway/stalled_conns.go
+++ b/src/gateway/stalled_conns.go
@@ -15,7 +15,7 @@
 // new ones work, to tell a fault of one peer from a stall of all connections.
 type stalledConnDetector struct {
 	mu    sync.Mutex
-	peers map[string]time.Time
+	peers map[string]time.Time // last stall
 }
 
 // record notes a stall of the connections to a peer. It reports whether enough
--- a/src/gateway/state.go
+++ b/src/gateway/state.go
@@ -88,7 +88,8 @@
 	n.upstreams.setRemoteLoads(remote, serverLoad{int(s.MeanRequests), int64(s.MeanUnread)})
 }
 
-// summaryIncarnation is the incarnation used for totals summed over all nodes.
+// summaryIncarnation is the incarnation used for totals summed over all nodes. It is
+// constant because the hub's own incarnation is part of the source name.
 const summaryIncarnation = 1
 
 func admittedTotals(admitted []*cluster.Tally) map[string]float64 {
@@ -263,6 +264,8 @@
 	}
 }
 
+// usageStep merges the usage counts of all nodes and reports the windows that have
+// settled.
 func (n *Node) usageStep(ctx context.Context) {
 	for _, m := range n.members.All() {
 		for _, u := range m.Record.Usage {
--- a/src/gateway/upstreams.go
+++ b/src/gateway/upstreams.go
@@ -28,8 +28,8 @@
 	failureRateDecay   = 0.8 // weight of the previous rate in the moving average
 )
 
-// upstream is one run of a server process at one address, with this node's
-// load and health data for it. Mutable fields are guarded by the pool's lock.
+// upstream is one run of a server process at one address, with the load and health
+// data that this node has for it. Mutable fields are guarded by the pool's lock.
 type upstream struct {
 	id                  string
 	address             string
--- a/src/member/node.go
+++ b/src/member/node.go
@@ -15,14 +15,15 @@
 )
 
 // Prefix is the prefix of the keys of node records. The value at TerminatedVMsKey
-// lists the VMs that have been terminated.
+// lists the VMs that have been terminated. The values that crank-gateway stores under
+// a prefix spelled alike have another format.
 const (
 	Prefix           = view.Prefix + "nodes/"
 	TerminatedVMsKey = view.Prefix + "gone"
 )
 
-// Node is the record of a node. Callers, Peers and Operators are the addresses
-// that it serves to clients, other nodes and operators.
+// Node is the record of a node. Callers, Peers and Operators are the addresses at
+// which it serves clients, other nodes and operators.
 type Node struct {
 	Name          string `json:"name"`
 	Incarnation   string `json:"incarnation"`
@@ -103,9 +104,9 @@
 	f.records, f.terminated = records, terminated
 }
 
-// Nodes lists the live nodes by name: those with a record, and those whose record
-// is gone but that have sent a message within heartbeatTTL or are this node. Nodes
-// on terminated VMs are left out.
+// Nodes lists the live nodes, sorted by name: those with a record, and those whose
+// record is gone but that have sent a message within heartbeatTTL or are this node.
+// Nodes on terminated VMs are left out.
 func (f *Fleet) Nodes() []Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/member/register.go
+++ b/src/member/register.go
@@ -16,23 +16,23 @@
 const (
 	renewalsPerLease      = 3
 	registerRetryInterval = time.Second // also limits the call that revokes the lease
-	reregisterSpread      = 6           // registrations after lost leases are spread over 1/reregisterSpread of a lease
+	reregisterSpread      = 6           // registrations after lost leases are spread over 1/reregisterSpread of the TTL
 )
 
 // Registrar keeps a node's record in the key-value service under a lease.
 type Registrar struct {
 	kv          *ports.KV
-	lease       time.Duration
+	ttl         time.Duration // of the lease
 	mu          sync.Mutex
 	node        Node
 	wake        chan struct{}
 	storedValue string // record last written
 }
 
-// NewRegistrar returns a registrar that keeps the node's record under leases of
-// the given duration.
-func NewRegistrar(kv *ports.KV, node Node, lease time.Duration) *Registrar {
-	return &Registrar{kv: kv, node: node, lease: lease, wake: make(chan struct{}, 1)}
+// NewRegistrar returns a registrar that keeps the node's record under leases with
+// the given TTL.
+func NewRegistrar(kv *ports.KV, node Node, ttl time.Duration) *Registrar {
+	return &Registrar{kv: kv, node: node, ttl: ttl, wake: make(chan struct{}, 1)}
 }
 
 // SetLeaving marks the node as leaving and rewrites its record.
@@ -60,7 +60,7 @@
 		case <-time.After(wait):
 		}
 		err := r.renewOrRegister(ctx, &lease)
-		wait = r.lease / renewalsPerLease
+		wait = r.ttl / renewalsPerLease
 		if err != nil && ctx.Err() == nil {
 			klog.V(1).InfoS("register", "err", err)
 			wait = registerRetryInterval
@@ -68,7 +68,7 @@
 		if errors.Is(err, ports.ErrLeaseGone) {
 			// Many leases expire together when an outage ends. Nodes without a record
 			// stay listed while they send messages, so registration can be spread out.
-			wait = rand.N(r.lease / reregisterSpread)
+			wait = rand.N(r.ttl / reregisterSpread)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		}
 	}
 	if *lease == 0 {
-		id, err := r.kv.Grant(ctx, r.lease)
+		id, err := r.kv.Grant(ctx, r.ttl)
 		if err != nil {
 			return err
 		}
--- a/src/request/flight.go
+++ b/src/request/flight.go
@@ -11,8 +11,8 @@
 // readers may follow it.
 type Flight struct {
 	Key        string
-	Digest     []byte
-	Attempt    string
+	Digest     []byte // hash of the request, by which the reuse of its key for another one is detected
+	Attempt    string // ID of the attempt
 	Repeatable bool
 	Priority   int
 	Customer   string
@@ -33,10 +33,10 @@
 	lastRead time.Time
 	cancel   context.CancelFunc
 	engine   string
-	stream   string
+	stream   string // ID at the engine
 }
 
-// NewFlight returns a flight that is cancelled by calling cancel.
+// NewFlight returns a flight that is canceled by calling cancel.
 func NewFlight(key string, digest []byte, attempt string, repeatable bool, now time.Time, cancel context.CancelFunc) *Flight {
 	return &Flight{
 		Key: key, Digest: digest, Attempt: attempt, Repeatable: repeatable, StartedAt: now,
--- a/src/request/outcome.go
+++ b/src/request/outcome.go
@@ -1,6 +1,7 @@
 // Package request implements the state of a request: its key, its outcome, the
-// tokens delivered so far, retry budgets, and the choice of a move when its
-// upstream leaves.
+// tokens delivered so far, retry budgets, and the choice of how to handle a stream
+// whose engine leaves. The coordinator of a request is the node that sends it
+// to upstreams and collects the answer.
 package request
 
 import (
@@ -18,7 +19,7 @@
 	Completed  Outcome = "completed"
 	NotRun     Outcome = "not-run"
 	MayHaveRun Outcome = "may-have-run"
-	Ran        Outcome = "ran" // it ran and failed
+	Ran        Outcome = "ran" // the request ran and failed; see Failed
 	Cancelled  Outcome = "cancelled"
 )
 
@@ -27,17 +28,17 @@
 type Answer struct {
 	Outcome Outcome `json:"outcome"`
 	Status  int     `json:"status"`
-	Code    string  `json:"code,omitempty"`    // error code
-	Message string  `json:"message,omitempty"` // error message
-	RetryMS int64   `json:"retry_ms,omitempty"`
+	Code    string  `json:"code,omitempty"`     // error code
+	Message string  `json:"message,omitempty"`  // error message
+	RetryMS int64   `json:"retry_ms,omitempty"` // time after which the caller may retry or ask again; 0 if not stated
 
 	// Fields of a completion.
 	Model   string   `json:"model,omitempty"`
-	Created int64    `json:"created,omitempty"` // Unix s
-	Finish  string   `json:"finish,omitempty"`  // finish reason
-	Prompt  int      `json:"prompt_tokens,omitempty"`
-	Cached  int      `json:"cached_tokens,omitempty"`
-	Tokens  []string `json:"tokens,omitempty"` // stored in case the coordinator is lost
+	Created int64    `json:"created,omitempty"`       // Unix s
+	Finish  string   `json:"finish,omitempty"`        // finish reason
+	Prompt  int      `json:"prompt_tokens,omitempty"` // number of prompt tokens
+	Cached  int      `json:"cached_tokens,omitempty"` // number of these found in the engine's cache
+	Tokens  []string `json:"tokens,omitempty"`        // stored in case the coordinator is lost
 
 	// Fields of a service call.
 	Header http.Header `json:"header,omitempty"`
@@ -72,7 +73,7 @@
 	return Answer{Outcome: MayHaveRun, Status: http.StatusBadGateway, Code: code, Message: message, RetryMS: retry.Milliseconds()}
 }
 
-// Failed returns the answer to a request that ran and failed.
+// Failed returns the answer, with outcome Ran, to a request that ran and failed.
 func Failed(status int, code, message string) Answer {
 	return Answer{Outcome: Ran, Status: status, Code: code, Message: message}
 }
--- a/src/request/window.go
+++ b/src/request/window.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	ratioUsed   = 0.8 // part of the ratio that a node uses
-	extraUsed   = 0.6 // part of a node's share of extra that it uses
-	startupUsed = 0.9 // part of the rest that a restarted process uses in its first window
+	ratioUsed   = 0.8 // part of the ratio that a node uses; a restarted process uses the rest
+	extraUsed   = 0.6 // part of a node's share of extra that it uses; a restarted process uses the rest
+	startupUsed = 0.9 // part of these rests that a restarted process uses in its first window
 	windowSlots = 20  // per window; one more is kept, as the oldest is partly in the window
 )
 
--- a/src/request/window_test.go
+++ b/src/request/window_test.go
@@ -17,7 +17,7 @@
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
 		budgets := make([]*WindowBudget, nodes)
 		for i := range budgets {
-			budgets[i] = NewWindowBudget(ratio, extra, window, true)
+			budgets[i] = NewWindowBudget(ratio, extra, window, true /* firstProcess */)
 		}
 		steps := rapid.IntRange(50, 300).Draw(t, "steps")
 		requests, retries := make([]float64, steps), make([]float64, steps)
@@ -41,7 +41,8 @@
 				asked += requests[i]
 				retried += retries[i]
 			}
-			// A request may count in this window or in the one half a window earlier.
+			// The limit is that of this window or of the one half a window earlier,
+			// whichever has more requests.
 			earlier := 0.0
 			for i := max(from-perWindow/2, 0); i < max(end-perWindow/2, 0); i++ {
 				earlier += requests[i]
@@ -67,7 +68,7 @@
 		startedAt := make([]time.Duration, nodes)
 		budgets := make([]*WindowBudget, nodes)
 		for i := range budgets {
-			budgets[i] = NewWindowBudget(ratio, extra, window, true)
+			budgets[i] = NewWindowBudget(ratio, extra, window, true /* firstProcess */)
 		}
 		// Requests arrive at a constant rate; retries are sent whenever the budgets allow.
 		rate := rapid.IntRange(0, 12).Draw(t, "requests per step")
@@ -77,7 +78,7 @@
 			now := time.Duration(at) * step
 			if rapid.IntRange(0, 15).Draw(t, "restart of all nodes") == 0 {
 				for i := range budgets {
-					budgets[i], startedAt[i] = NewWindowBudget(ratio, extra, window, false), now
+					budgets[i], startedAt[i] = NewWindowBudget(ratio, extra, window, false /* firstProcess */), now
 				}
 			}
 			for i := range rate {
--- a/src/telemetry/gateway.go
+++ b/src/telemetry/gateway.go
@@ -58,7 +58,8 @@
 	return err
 }
 
-// Answered counts a response that came from an upstream.
+// Answered counts a response that came from an upstream, and records the time from
+// the request's arrival to the end of the response.
 func (g *GatewayMetrics) Answered(route, status string, took time.Duration) {
 	g.requests.Add(context.Background(), 1, attrs("route", route, "status", status))
 	g.answerTime.Record(context.Background(), took.Seconds(), attrs("route", route))
@@ -70,8 +71,8 @@
 }
 
 // Sent counts a request sent to an upstream, by service and outcome.
-func (g *GatewayMetrics) Sent(service, fate string) {
-	g.sends.Add(context.Background(), 1, attrs("service", service, "fate", fate))
+func (g *GatewayMetrics) Sent(service, outcome string) {
+	g.sends.Add(context.Background(), 1, attrs("service", service, "fate", outcome))
 }
 
 // Retry counts a decision of the retry budget and records the number of nodes
--- a/src/telemetry/metrics.go
+++ b/src/telemetry/metrics.go
@@ -10,7 +10,8 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Metrics holds the instruments of a process, described in docs/OPERATING.md.
+// Metrics holds the instruments of crank-entry and crank-control, described in
+// docs/OPERATING.md.
 type Metrics struct {
 	handler       http.Handler
 	requests      metric.Int64Counter
--- a/src/view/view.go
+++ b/src/view/view.go
@@ -1,5 +1,5 @@
-// Package view keeps a node's copy of the system's keys in the key-value
-// service: resources, node records, the upstream list and the shard map.
+// Package view keeps a node's local copy of keys in the key-value service, such as
+// resources, node records, the upstream list and the shard map.
 //
 // A view never moves backward. It keeps the highest revision offered for each
 // key, deletions included, so that stale reads, delayed watches and slow peers
@@ -27,11 +27,12 @@
 	FromPeer Source = "peer"
 )
 
-// View is safe for concurrent use.
+// View is a local copy of the items under a key prefix. It is safe for concurrent
+// use.
 type View struct {
 	mu       sync.Mutex
 	items    map[string]ports.Item
-	complete int64
+	complete int64 // revision up to which no change is missing
 	// tombstoneFloor is the revision up to which tombstones may be missing: a
 	// listing does not contain the keys deleted before it.
 	tombstoneFloor int64
@@ -63,8 +64,9 @@
 }
 
 // ChangesSince returns the logged changes above revision rev, deletions included,
-// in order, and the complete revision. ok is false if the log has been truncated
-// above rev.
+// in order, and the complete revision. Unlike DeltaSince, it returns every change of
+// a key, not only the last, and needs a view made by NewWithLog. ok is false if the
+// log has been truncated above rev.
 func (v *View) ChangesSince(rev int64) (items []ports.Item, complete int64, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -89,7 +91,8 @@
 }
 
 // ApplyList merges a full listing read at revision rev. Keys missing from the
-// listing are deleted unless the view holds a later revision of them.
+// listing are deleted unless the view holds a later revision of them. A listing
+// older than the complete revision of the view is ignored.
 func (v *View) ApplyList(items []ports.Item, rev int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -203,7 +206,8 @@
 	v.tombstoneFloor = max(v.tombstoneFloor, upTo)
 }
 
-// DeltaSince returns the changes that a view complete up to rev is missing.
+// DeltaSince returns what a view that is complete up to rev is missing: the last
+// change of each key, or a snapshot if tombstones above rev may be missing.
 func (v *View) DeltaSince(rev int64) Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
