--- a/src/caller/call.go
+++ b/src/caller/call.go
@@ -43,7 +43,7 @@
 	}
 	defer f.AddReader(s.coord.Now)()
 	if answer := waitForAnswer(r, f); answer != nil {
-		writeCall(w, *answer)
+		writeAnswer(w, *answer)
 	}
 }
 
@@ -54,7 +54,7 @@
 	return b
 }
 
-func writeCall(w http.ResponseWriter, a request.Answer) {
+func writeAnswer(w http.ResponseWriter, a request.Answer) {
 	if a.Code != "" {
 		writeError(w, a)
 		return
@@ -62,7 +62,7 @@
 	for name, values := range a.Header {
 		w.Header()[name] = values
 	}
-	setOutcome(w.Header(), a)
+	setOutcomeHeaders(w.Header(), a)
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
--- a/src/caller/completion.go
+++ b/src/caller/completion.go
@@ -85,7 +85,7 @@
 	}
 	out.Choices = []openai.Choice{choice}
 	out.Usage = usage(a, len(tokens))
-	setOutcome(w.Header(), a)
+	setOutcomeHeaders(w.Header(), a)
 	writeJSON(w, http.StatusOK, out)
 }
 
--- a/src/caller/errors.go
+++ b/src/caller/errors.go
@@ -64,11 +64,13 @@
 }
 
 func writeError(w http.ResponseWriter, a request.Answer) {
-	setOutcome(w.Header(), a)
+	setOutcomeHeaders(w.Header(), a)
 	writeJSON(w, a.Status, newErrorBody(a))
 }
 
-func setOutcome(h http.Header, a request.Answer) {
+// setOutcomeHeaders sets the outcome header and, if the answer says when to retry,
+// the Retry-After headers.
+func setOutcomeHeaders(h http.Header, a request.Answer) {
 	h.Set(headerOutcome, wireOutcome(a))
 	if a.RetryMS > 0 {
 		seconds := (time.Duration(a.RetryMS)*time.Millisecond + time.Second - 1) / time.Second
--- a/src/capacity/demand.go
+++ b/src/capacity/demand.go
@@ -9,7 +9,7 @@
 const (
 	rateHalfLife       = 3 * time.Second  // half-life of the prompt token rate
 	peakWindow         = 20 * time.Second // window of RollingMax
-	serverStep         = 2                // the number of servers is a multiple of this
+	serverStep         = 2                // the number of servers is rounded up to a multiple of this, to absorb small changes in demand
 	prefillUtilization = 0.28             // target utilization of an engine's prefill rate
 	slotUtilization    = 0.4              // target utilization of an engine's slots
 	prefillQuantile    = 0.7              // quantile of the samples that the prefill rate tracks
@@ -35,8 +35,9 @@
 }
 
 // RecordPrefill records the time from sending a prompt to the first event of the
-// answer. The estimate tracks a high quantile because prompts that were queued
-// give too low a rate and cached ones too high a rate.
+// answer. The estimate tracks a quantile, which a few extreme samples hardly
+// move: prompts that were queued give far too low a rate, and cached prompts far
+// too high a rate.
 func (m *DemandMeter) RecordPrefill(tokens int64, duration time.Duration) {
 	if tokens < minSampleTokens || duration <= 0 {
 		return
--- a/src/capacity/plan_test.go
+++ b/src/capacity/plan_test.go
@@ -70,9 +70,9 @@
 			all[o.FailureDomain] = Supply{Spot: o.Count}
 		}
 	}
-	base, spot := countOrders(Plan("s", scaling, Need{Servers: 20}, all))
-	is.Equal(base, 4)  // onDemandFraction
-	is.Equal(spot, 21) // the rest and spotHeadroom
+	onDemand, spot := countOrders(Plan("s", scaling, Need{Servers: 20}, all))
+	is.Equal(onDemand, 4) // onDemandFraction
+	is.Equal(spot, 21)    // the rest and spotHeadroom
 	all["d0"] = Supply{}
 	oneLost, _ := countOrders(Plan("s", scaling, Need{Servers: 20}, all))
 	is.Equal(oneLost, 5) // the headroom covers nearly all of one domain
--- a/src/catalog/resource.go
+++ b/src/catalog/resource.go
@@ -1,6 +1,7 @@
 // Package catalog defines the resources that operators configure (events,
 // models, adapters, services and customers), their encoding and their validation.
-// Each resource is written on its own; references between resources may be broken.
+// Each resource is written on its own, so a resource may name another one that
+// does not exist.
 package catalog
 
 import (
@@ -58,8 +59,9 @@
 	Models    []EventModel    `json:"models"`
 	Services  []string        `json:"services,omitempty"`
 	Customers []EventCustomer `json:"customers"`
-	Priority  int             `json:"priority,omitempty"` // 0 to 9, highest first
-	// CostWeight weighs cost against latency, from 0 (latency only) to 1 (cost only).
+	Priority  int             `json:"priority,omitempty"` // 0 to 9; requests with a higher number go first
+	// CostWeight is from 0 to 1. When a VM is bought, its price always counts; the
+	// expected cost of losing it counts fully at 0 and not at all at 1.
 	CostWeight float64 `json:"cost_weight,omitempty"`
 }
 
@@ -103,12 +105,13 @@
 	TimeoutMS     int  `json:"timeout_ms,omitempty"` // per call, with all attempts; 0 to use the request's deadline
 }
 
-// Customer is an organisation or person whose calls are served.
+// Customer is an organisation or person whose calls are served. Its API key is
+// also called bearer key, because calls send it as a bearer token.
 type Customer struct {
 	KeySHA256  string  `json:"key_sha256"`                    // hash of the bearer key, hexadecimal
 	Weight     int     `json:"weight"`                        // relative share of scarce capacity
 	RequestsPS float64 `json:"requests_per_second,omitempty"` // rate limit over all nodes; 0 for none
-	Priority   int     `json:"priority,omitempty"`            // 0 to 9, highest first
+	Priority   int     `json:"priority,omitempty"`            // 0 to 9; requests with a higher number go first
 }
 
 // Key returns the key under which a resource is stored.
--- a/src/catalog/snapshot.go
+++ b/src/catalog/snapshot.go
@@ -67,6 +67,8 @@
 	if !ok {
 		return Resource{}, false
 	}
+	// byKeyHash may still hold the key of a customer that a later item of the same
+	// name has replaced.
 	same := subtle.ConstantTimeCompare([]byte(hash), []byte(c.Customer.KeySHA256)) == 1
 	return c, same
 }
@@ -83,7 +85,8 @@
 // other requests have a lower priority.
 const EventPriority = maxPriority + 1
 
-// TargetOf returns the target of a customer at now.
+// TargetOf returns the target of a customer at now. An event is in force here from
+// its start to its end, even if its phase is not event.InForce.
 func (s *Snapshot) TargetOf(customer Resource, now time.Time) Target {
 	t := Target{Priority: customer.Customer.Priority, Weight: customer.Customer.Weight}
 	for _, ev := range s.Events {
--- a/src/control/control.go
+++ b/src/control/control.go
@@ -41,7 +41,7 @@
 	view          *view.View
 	fleet         *member.Fleet
 	pool          *peer.Pool
-	leaderLease   *leaderLease
+	plannerLease  *plannerLease
 	planner       *planner
 	metrics       *telemetry.Metrics
 	journal       *telemetry.Journal
@@ -62,9 +62,9 @@
 		engines: engine.NewClient(time.Second, engineTimeout), startedAt: time.Now(),
 	}
 	p.kv = ports.NewKV(cfg.KV.URL, cfg.KV.Timeout, p.kvTraffic.Dial(cfg.KV.Timeout))
-	p.leaderLease = &leaderLease{kv: p.kv, view: p.view, name: cfg.Node.Name, ttl: cfg.Planner.LeaseTTL}
+	p.plannerLease = &plannerLease{kv: p.kv, view: p.view, name: cfg.Node.Name, ttl: cfg.Planner.LeaseTTL}
 	p.planner = &planner{
-		cfg: cfg, kv: p.kv, cloud: ports.NewCloud(cfg.Cloud.URL, cfg.Cloud.Timeout), engines: p.engines, view: p.view, leaderLease: p.leaderLease,
+		cfg: cfg, kv: p.kv, cloud: ports.NewCloud(cfg.Cloud.URL, cfg.Cloud.Timeout), engines: p.engines, view: p.view, plannerLease: p.plannerLease,
 		metrics: metrics, journal: p.journal, refusedAt: map[plan.OfferKey]time.Time{}, engineStates: map[string]engineState{},
 	}
 	return p, nil
@@ -81,7 +81,7 @@
 	klog.InfoS("started", "node", p.cfg.Node.Name, "operators", p.cfg.Listen.Operators, "planner", !p.cfg.Planner.Disabled)
 	loops := []func(context.Context){func(ctx context.Context) { p.view.Follow(ctx, p.kv, view.Prefix) }, p.followView}
 	if !p.cfg.Planner.Disabled {
-		loops = append(loops, p.leaderLease.run, p.planner.run)
+		loops = append(loops, p.plannerLease.run, p.planner.run)
 	}
 	var wg sync.WaitGroup
 	for _, loop := range loops {
@@ -183,7 +183,7 @@
 
 func (p *Process) state() State {
 	rev, _ := p.view.Complete()
-	epoch, leading := p.leaderLease.currentEpoch()
+	epoch, leading := p.plannerLease.currentEpoch()
 	s := State{
 		Node: p.cfg.Node.Name, UptimeS: int64(time.Since(p.startedAt).Seconds()), CompleteRevision: rev, Leading: leading, Epoch: epoch, Nodes: p.fleet.Nodes(),
 		Traffic: map[string][2]int64{
--- a/src/control/leader_lease.go
+++ b/src/control/leader_lease.go
@@ -24,10 +24,10 @@
 	renewalsPerTTL  = 4
 )
 
-// leaderLease is the planner lease: it elects the process that runs the planner.
-// The epoch is the revision at which the key was written; it increases with each
-// holder and serves as the fencing token of orders to engines.
-type leaderLease struct {
+// plannerLease elects the process that runs the planner. Its epoch is the revision
+// at which the key was written; it increases with each holder and serves as the
+// fencing token of orders to engines. Shards have epochs of their own (claim.Shard).
+type plannerLease struct {
 	kv         *ports.KV
 	view       *view.View
 	name       string
@@ -39,7 +39,7 @@
 }
 
 // currentEpoch returns the epoch, and whether the lease is certain to be held.
-func (l *leaderLease) currentEpoch() (epoch int64, ok bool) {
+func (l *plannerLease) currentEpoch() (epoch int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epoch, l.epoch > 0 && time.Now().Before(l.validUntil)
@@ -47,7 +47,7 @@
 
 // run acquires the lease when it is free and renews it until ctx is done, then
 // releases it.
-func (l *leaderLease) run(ctx context.Context) {
+func (l *plannerLease) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		start := time.Now()
 		if err := l.acquireOrRenew(ctx); err != nil {
@@ -65,7 +65,7 @@
 
 var errLeaseHeld = errors.New("another process holds the planner lease")
 
-func (l *leaderLease) acquireOrRenew(ctx context.Context) error {
+func (l *plannerLease) acquireOrRenew(ctx context.Context) error {
 	l.mu.Lock()
 	leaseID, epoch := l.leaseID, l.epoch
 	l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return l.acquire(ctx)
 }
 
-func (l *leaderLease) acquire(ctx context.Context) error {
+func (l *plannerLease) acquire(ctx context.Context) error {
 	item, held, _, err := l.kv.Get(ctx, plannerLeaseKey)
 	if err != nil {
 		return err
@@ -122,23 +122,23 @@
 	return nil
 }
 
-func (l *leaderLease) holderValue(leaseID int64) string {
+func (l *plannerLease) holderValue(leaseID int64) string {
 	return l.name + "#" + strconv.FormatInt(leaseID, 10)
 }
 
-func (l *leaderLease) setLease(leaseID, epoch int64) {
+func (l *plannerLease) setLease(leaseID, epoch int64) {
 	l.mu.Lock()
 	l.leaseID, l.epoch = leaseID, epoch
 	l.mu.Unlock()
 }
 
-func (l *leaderLease) extend(start time.Time) {
+func (l *plannerLease) extend(start time.Time) {
 	l.mu.Lock()
 	l.validUntil = start.Add(time.Duration(float64(l.ttl) * safeTTLFraction))
 	l.mu.Unlock()
 }
 
-func (l *leaderLease) clear() {
+func (l *plannerLease) clear() {
 	l.mu.Lock()
 	if l.epoch > 0 {
 		klog.InfoS("planner_lease_lost", "holder", l.name, "epoch", l.epoch)
@@ -148,7 +148,7 @@
 }
 
 // release revokes the lease so that another process can take over immediately.
-func (l *leaderLease) release() {
+func (l *plannerLease) release() {
 	l.mu.Lock()
 	leaseID := l.leaseID
 	l.mu.Unlock()
--- a/src/control/planner.go
+++ b/src/control/planner.go
@@ -30,14 +30,14 @@
 
 // planner computes and executes plans while this process holds the planner lease.
 type planner struct {
-	cfg         settings.Control
-	kv          *ports.KV
-	cloud       *ports.Cloud
-	engines     *engine.Client
-	view        *view.View
-	leaderLease *leaderLease
-	metrics     *telemetry.Metrics
-	journal     *telemetry.Journal
+	cfg          settings.Control
+	kv           *ports.KV
+	cloud        *ports.Cloud
+	engines      *engine.Client
+	view         *view.View
+	plannerLease *plannerLease
+	metrics      *telemetry.Metrics
+	journal      *telemetry.Journal
 
 	refusedAt    map[plan.OfferKey]time.Time
 	engineStates map[string]engineState
@@ -59,7 +59,7 @@
 // run executes a planning round per interval while the lease is held.
 func (p *planner) run(ctx context.Context) {
 	process.Every(ctx, p.cfg.Planner.Round, func() {
-		epoch, ok := p.leaderLease.currentEpoch()
+		epoch, ok := p.plannerLease.currentEpoch()
 		if !ok {
 			clear(p.engineStates)
 			return
@@ -77,7 +77,7 @@
 
 // checkLease returns an error if another process may hold the lease by now.
 func (p *planner) checkLease(epoch int64) error {
-	if current, ok := p.leaderLease.currentEpoch(); !ok || current != epoch {
+	if current, ok := p.plannerLease.currentEpoch(); !ok || current != epoch {
 		return errLeaseLost
 	}
 	return nil
--- a/src/ctl/ctl.go
+++ b/src/ctl/ctl.go
@@ -10,12 +10,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes. Code 2 is for wrong usage.
+// Exit codes. Code 2, which has no constant, is for wrong usage.
 const (
 	exitFailed         = 1 // the command failed
 	exitConflict       = 3 // the resource was changed concurrently
 	exitUnavailable    = 4 // nothing was changed because a service is unavailable
-	exitOutcomeUnknown = 5 // the change may or may not have taken effect; safe to repeat
+	exitOutcomeUnknown = 5 // the change or request may or may not have taken effect; safe to repeat, a request only with the same --request-key
 	exitNotRolledOut   = 6 // the change was accepted but did not reach all nodes in time
 )
 
@@ -72,7 +72,7 @@
 	ctx, err := k.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "crankctl:", err)
-		os.Exit(2)
+		os.Exit(2) // wrong usage
 	}
 	err = ctx.Run(&c.globals, k)
 	if err == nil {
--- a/src/ctl/inspect.go
+++ b/src/ctl/inspect.go
@@ -161,6 +161,8 @@
 		}
 		return c.explainFromLogs()
 	}
+	// getJSON queries the addresses in Control. The decisions about a request are
+	// held by crank-entry, so its operator addresses are put there instead.
 	targets := *g
 	path := "/v1/explain"
 	if c.What == "request" {
--- a/src/ctl/send.go
+++ b/src/ctl/send.go
@@ -32,7 +32,7 @@
 // after the last event received.
 func (c *sendCmd) Run(g *globals) error {
 	if (c.Model == "") == (c.Service == "") {
-		return exitErrorf(2, "give either --model or --service")
+		return exitErrorf(2, "give either --model or --service") // wrong usage
 	}
 	if c.RequestKey == "" {
 		c.RequestKey = request.IssueKey(time.Now())
@@ -86,7 +86,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return s.refusal(resp)
+		return s.responseError(resp)
 	}
 	if s.cmd.Service != "" {
 		_, err = io.Copy(os.Stdout, resp.Body)
@@ -95,8 +95,9 @@
 	return s.printStream(resp.Body)
 }
 
-// refusal converts an error response to an error and the delay before a retry.
-func (s *sender) refusal(resp *http.Response) (time.Duration, error) {
+// responseError converts a response with status 400 or above to an error and the
+// delay before a retry.
+func (s *sender) responseError(resp *http.Response) (time.Duration, error) {
 	raw, _ := io.ReadAll(resp.Body)
 	outcome := resp.Header.Get("Crankridge-Outcome")
 	err := exitErrorf(exitFailed, "%d, outcome %s, key %s: %s", resp.StatusCode, outcome, s.cmd.RequestKey, strings.TrimSpace(string(raw)))
--- a/src/engine/wire.go
+++ b/src/engine/wire.go
@@ -16,6 +16,7 @@
 )
 
 // State is an engine's report. It may be outdated; AtMS is the time it describes.
+// AtMS and LeavingMS are points in time, but StepMS is a duration.
 type State struct {
 	Name         string        `json:"name"`
 	AtMS         int64         `json:"at_ms"` // Unix ms
@@ -26,9 +27,9 @@
 	QueuedTokens int           `json:"queued_tokens"` // prompt tokens not yet prefilled
 	Slots        int           `json:"slots"`
 	PrefillTPS   float64       `json:"prefill_tps"` // prefill rate in tokens per second
-	StepMS       float64       `json:"step_ms"`     // time between tokens of a stream
+	StepMS       float64       `json:"step_ms"`     // time between tokens of a stream, ms
 	LeavingMS    int64         `json:"leaving_ms"`  // deadline in Unix ms; 0 if the engine is not leaving
-	Epoch        int64         `json:"epoch"`       // highest epoch of an order received
+	Epoch        int64         `json:"epoch"`       // highest epoch of the planner lease in an order received
 	CacheSeq     int64         `json:"cache_seq"`   // sequence number of the last cache event
 	Cache        []CacheEvent  `json:"cache,omitempty"`
 }
@@ -57,7 +58,7 @@
 	} `json:"named_metrics"`
 }
 
-// Order is a command of the planner, fenced by its epoch.
+// Order is a command of the planner, fenced by the epoch of the planner lease.
 type Order struct {
 	Epoch   int64  `json:"epoch"`
 	Op      string `json:"op"` // OpLoad or OpUnload
@@ -72,7 +73,8 @@
 	OpUnload = "unload"
 )
 
-// Import asks an engine to import the KV cache of a stream from another engine.
+// Import asks an engine to import the KV cache of a stream, that is, to fetch it from
+// another engine. Package serve calls this moving the cache.
 type Import struct {
 	Source string `json:"source"` // address, host:port
 	Stream string `json:"stream"`
--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -172,8 +172,9 @@
 	}
 }
 
-// recordCall records the result of a call to a peer. The first failure is sent to
-// other peers, so that it reaches the node that writes the shard map.
+// recordCall records the result of a call to a peer. The first failure makes the
+// peer suspected, which other peers are told, so that the node that writes the
+// shard map learns of it.
 func (n *Node) recordCall(addr string, err error) {
 	if suspect := n.fleet.RecordCall(addr, err == nil); suspect != "" && n.fleet.RecordPeerSuspicion(suspect) {
 		n.enqueueNotice(notice{suspect: suspect})
@@ -195,7 +196,7 @@
 	}
 }
 
-// enqueueNotice drops the notice if the queue is full.
+// enqueueNotice queues a notice for notifyLoop, or drops it if the queue is full.
 func (n *Node) enqueueNotice(item notice) {
 	select {
 	case n.notices <- item:
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -229,7 +229,8 @@
 	return servers, nil
 }
 
-// applyLoop applies changes of the view.
+// applyLoop updates the nodes, catalog, upstreams and shard map from the view
+// whenever it changes.
 func (n *Node) applyLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := n.view.Changed()
@@ -294,6 +295,8 @@
 	}
 }
 
+// sweepLoop periodically removes expired state and updates the estimate of the
+// load that the other nodes send.
 func (n *Node) sweepLoop(ctx context.Context) {
 	process.Every(ctx, sweepInterval, func() {
 		n.coord.Sweep()
--- a/src/entry/operator.go
+++ b/src/entry/operator.go
@@ -26,7 +26,7 @@
 	Suspects         []string            `json:"suspects"`
 	Upstreams        []upstream.Dump     `json:"upstreams"`
 	OpenRequests     int                 `json:"open_requests"`
-	Retries          float64             `json:"retries_left"`
+	RetriesLeft      float64             `json:"retries_left"`
 	Requests         []serve.FlightDump  `json:"requests"`
 	Queues           []serve.QueueDump   `json:"queues"`
 	Shards           map[int]ShardState  `json:"shards_kept"`
@@ -47,8 +47,8 @@
 	s := State{
 		Node: n.self, UptimeS: int64(time.Since(n.startedAt).Seconds()), Phase: int(n.callers.Phase()), CompleteRevision: rev, RevisionSource: string(source),
 		Versions: map[string]int64{}, Nodes: n.fleet.Nodes(), Suspects: suspectedNodes(n.fleet), Upstreams: n.registry.Dumps(),
-		OpenRequests: n.coord.OpenRequests(), Retries: n.coord.RetriesLeft(), Requests: n.coord.Flights(), Queues: n.coord.Queues(),
-		Shards: map[int]ShardState{}, Records: n.ledger.Expire(time.Now()),
+		OpenRequests: n.coord.OpenRequests(), RetriesLeft: n.coord.RetriesLeft(), Requests: n.coord.Flights(), Queues: n.coord.Queues(),
+		Shards: map[int]ShardState{}, Records: n.ledger.Expire(time.Now()), // Expire returns the number of records left
 		Traffic: map[string][2]int64{
 			"kv":        {n.kvTraffic.In.Load(), n.kvTraffic.Out.Load()},
 			"peers_out": {n.pool.Traffic.In.Load(), n.pool.Traffic.Out.Load()},
--- a/src/event/status.go
+++ b/src/event/status.go
@@ -1,4 +1,5 @@
-// Package event determines the phase and the status of events.
+// Package event determines the phase and the status of events. An event is a
+// planned surge in demand, configured as a catalog.Event.
 package event
 
 import (
@@ -17,11 +18,11 @@
 
 // The phases of an event.
 const (
-	Scheduled Phase = "Scheduled"
-	Preparing Phase = "Preparing"
-	Ready     Phase = "Ready"
-	InForce   Phase = "InForce"
-	Degraded  Phase = "Degraded"
+	Scheduled Phase = "Scheduled" // preparation has not begun
+	Preparing Phase = "Preparing" // not started; servers are missing
+	Ready     Phase = "Ready"     // not started; nothing is missing
+	InForce   Phase = "InForce"   // started; nothing is missing
+	Degraded  Phase = "Degraded"  // started, but servers are missing; or blocked, at any time before its end
 	Ended     Phase = "Ended"
 )
 
--- a/src/operator/store.go
+++ b/src/operator/store.go
@@ -92,7 +92,9 @@
 
 func trimChangeIDs(ids []string) []string { return ids[max(len(ids)-maxStoredChangeIDs, 0):] }
 
-// Delete removes a resource if its current version is version.
+// Delete removes a resource if its current version is version. The returned
+// resource has only its kind, its name and the revision of the deletion as its
+// version, or is the current one along with ErrConflict.
 func (s *Store) Delete(ctx context.Context, kind catalog.Kind, name string, version int64) (catalog.Resource, error) {
 	key := catalog.Key(kind, name)
 	writeSent := false
--- a/src/plan/count.go
+++ b/src/plan/count.go
@@ -8,7 +8,8 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// engineVM is a running VM with an engine that is not leaving.
+// engineVM is a running engine VM that is neither leaving nor released. Its engine
+// may not have answered yet.
 type engineVM struct {
 	vm      ports.VM
 	model   string // loaded, loading or planned model; empty if idle
@@ -17,8 +18,9 @@
 }
 
 // countServers matches VMs, intents and engine states, and counts the ready and
-// pending servers of each model. It also adds the actions that need no placement:
-// buying unlisted VMs, terminating orphans and loading missing models.
+// pending servers of each model. It also adds the actions that follow from them
+// alone: buying the VMs of intents that are not listed, terminating orphans (bought
+// VMs without an intent), and loading the models that engines should have.
 func (b *builder) countServers() {
 	seen := map[string]bool{}
 	for _, vm := range b.in.VMs {
@@ -28,7 +30,8 @@
 		seen[vm.Name] = true
 		b.countVM(vm)
 	}
-	// The VM list may lag behind: an unlisted VM counts as pending.
+	// The VM list may lag behind, so the VM of an unlisted intent counts as pending.
+	// Buying it again has no effect if it exists.
 	for _, i := range b.in.Intents {
 		if !seen[i.Name] && i.ReleaseMS == 0 {
 			b.out.Buy = append(b.out.Buy, i)
--- a/src/plan/place.go
+++ b/src/plan/place.go
@@ -92,6 +92,7 @@
 	below := slices.DeleteFunc(slices.Clone(out), func(d string) bool { return servers[d] >= maxServers })
 	// One more server in the domain with the most servers is useful only if
 	// another domain can get one too, or if there are too few servers in total.
+	// 2*n.Servers in total are enough in any case: n.Servers in each of two domains.
 	if total < n.Servers || total < 2*n.Servers && b.availableDomains(n, out) > 1 {
 		return append(below, slices.DeleteFunc(out, func(d string) bool { return servers[d] < maxServers })...)
 	}
@@ -181,9 +182,9 @@
 	for _, vm := range b.in.VMs {
 		used[vm.Name] = true
 	}
-	startMS := b.in.Now.UnixMilli()
+	nowMS := b.in.Now.UnixMilli()
 	for k := int64(0); ; k++ {
-		name := b.in.Params.Prefix + "-" + model + "-" + domain + "-" + base36(startMS+k)
+		name := b.in.Params.Prefix + "-" + model + "-" + domain + "-" + base36(nowMS+k)
 		if _, taken := b.intents[name]; !taken && !used[name] {
 			return name
 		}
--- a/src/plan/plan.go
+++ b/src/plan/plan.go
@@ -89,7 +89,7 @@
 	Model      string         `json:"model"`
 	Servers    int            `json:"servers"` // required, with SpreadDomains even if any one failure domain is lost
 	Priority   int            `json:"priority"`
-	CostWeight float64        `json:"cost_weight"`       // weight of cost against latency, 0 to 1
+	CostWeight float64        `json:"cost_weight"`       // see catalog.Event.CostWeight
 	Ready      map[string]int `json:"ready"`             // servers with the model loaded, by failure domain
 	Pending    map[string]int `json:"coming"`            // servers booting or loading, by failure domain
 	Refused    []string       `json:"refused,omitempty"` // refused offers, as text for operators
@@ -165,6 +165,7 @@
 	for _, m := range ev.Models {
 		if n := b.needs[m.Name]; n != nil {
 			n.Servers += m.Servers
+			// Models that no event needs have priority 0.
 			n.Priority = max(n.Priority, ev.Priority+1)
 			n.CostWeight = ev.CostWeight
 		}
--- a/src/plan/plan_test.go
+++ b/src/plan/plan_test.go
@@ -193,6 +193,6 @@
 	is := is.New(t)
 	spot := ports.Offer{Reclaimable: true, HourPrice: 1, ReclaimPerDay: 1.5}
 	onDemand := ports.Offer{HourPrice: 3}
-	is.True(Score(spot, 1) < Score(onDemand, 1)) // cost only
-	is.True(Score(spot, 0) > Score(onDemand, 0)) // latency only
+	is.True(Score(spot, 1) < Score(onDemand, 1)) // only the price counts
+	is.True(Score(spot, 0) > Score(onDemand, 0)) // the expected cost of a reclaim counts fully
 }
--- a/src/plan/release.go
+++ b/src/plan/release.go
@@ -8,8 +8,9 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// release releases bought VMs that are not needed, and terminates released VMs
-// after releaseGrace, in which their streams can end.
+// release marks bought VMs that are not needed as released, so that they get no
+// new work, and terminates them releaseGrace later, when their streams have had
+// time to end.
 func (b *builder) release() {
 	for _, i := range b.sortedIntents() {
 		if i.ReleaseMS == 0 {
@@ -33,7 +34,7 @@
 	})
 }
 
-// releaseSurplus releases VMs of a model, the most expensive first, while the
+// releaseSurplus marks VMs of a model as released, the most expensive first, while the
 // remaining ones meet its need.
 func (b *builder) releaseSurplus(n *Need) {
 	for {
--- a/src/ports/cloud.go
+++ b/src/ports/cloud.go
@@ -13,7 +13,8 @@
 	"github.com/samber/oops"
 )
 
-// ErrRefused is returned if the cloud has no VM of the requested class available.
+// ErrRefused is returned by Cloud if the cloud has no VM of the requested class
+// available. Package platform returns ErrNoCapacity for the same condition.
 var ErrRefused = errors.New("cloud refused the VM request")
 
 // VMState is the lifecycle state of a VM as reported by the cloud.
@@ -50,8 +51,8 @@
 	Region        string  `json:"region"`
 	Reclaimable   bool    `json:"reclaimable"`
 	HourPrice     float64 `json:"hour_price"`
-	ReclaimPerDay float64 `json:"reclaim_per_day"` // probability that a VM is reclaimed within a day
-	BootMS        int64   `json:"boot_ms"`
+	ReclaimPerDay float64 `json:"reclaim_per_day"` // expected number of reclaims of a VM per day
+	BootMS        int64   `json:"boot_ms"`         // duration of a boot, ms
 }
 
 // Cloud is a client of the cloud API.
--- a/src/ports/kv.go
+++ b/src/ports/kv.go
@@ -270,5 +270,6 @@
 	return []byte{0}
 }
 
-// ErrNoCapacity is returned if the platform has no VM of the requested kind available.
+// ErrNoCapacity is returned by package platform if the platform has no VM of the
+// requested kind available. Cloud returns ErrRefused for the same condition.
 var ErrNoCapacity = errors.New("no capacity available")
--- a/src/route/route.go
+++ b/src/route/route.go
@@ -16,7 +16,7 @@
 	rendezvousSamples = 2    // candidates sampled by rendezvous hashing of the prefix
 	randomSamples     = 2    // candidates sampled at random
 	boundFactor       = 1.25 // maximum load of a candidate, as a multiple of the mean
-	boundSlack        = 2.0  // further requests allowed per candidate, so that low loads are not bound too tightly
+	boundSlack        = 2.0  // requests allowed per candidate beyond that, so that the bound is not too tight at low load
 	bytesPerToken     = 5.0  // estimate for prompt text
 	meanAnswerTokens  = 128  // estimate, determines how long a slot is in use
 )
@@ -109,7 +109,8 @@
 
 // lowestTTFT samples candidates by rendezvous hashing of the prefix, by cached
 // blocks and at random, and returns the one with the lowest estimated time to
-// first token whose load is within the bound.
+// first token whose load is within the bound. A candidate in slow start is skipped
+// at random, with probability 1-SlowStartWeight.
 func lowestTTFT(cands []upstream.Candidate, r Request, rng *rand.Rand) Choice {
 	bound := loadBound(cands)
 	best := Choice{TTFT: -1}
@@ -166,15 +167,15 @@
 // for a prefix by rendezvous hashing. The result is the same on every node.
 func rendezvousCandidates(cands []upstream.Candidate, block uint64) []int {
 	type ranked struct {
-		i     int
-		score uint64
+		i    int
+		hash uint64 // mix(hash) is the score
 	}
 	var best []ranked
 	for i, c := range cands {
 		best = append(best, ranked{i, xxhash.Sum64String(c.Name) ^ mix(block)})
 	}
 	slices.SortFunc(best, func(a, b ranked) int {
-		sa, sb := mix(a.score), mix(b.score)
+		sa, sb := mix(a.hash), mix(b.hash)
 		switch {
 		case sa > sb:
 			return -1
--- a/src/serve/follow.go
+++ b/src/serve/follow.go
@@ -19,9 +19,9 @@
 	readBackoff      = 50 * time.Millisecond
 )
 
-// follow copies the tokens and the answer of the attempt that holds the key. If its
-// coordinator is lost, a repeatable request is taken over and any other gets an
-// indeterminate answer.
+// follow copies the tokens and the answer of holder, the attempt that has claimed
+// the request's key. If its coordinator is lost, a repeatable request is taken over
+// and any other gets an indeterminate answer.
 func (c *Coordinator) follow(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
 	failures := 0
 	for ctx.Err() == nil {
@@ -58,8 +58,9 @@
 	return c.Pool.Client(holder.Addr).Read(ctx, &peer.ReadRequest{Key: key, After: int64(after), WaitMs: int32(readLongPoll.Milliseconds())})
 }
 
-// recoverOrphan answers a request whose coordinator is lost. If the keepers have no
-// answer, a repeatable request is claimed and sent again.
+// recoverOrphan answers an orphan: a request whose coordinator is lost. If the
+// keepers have no answer, a repeatable request is claimed and sent again. The
+// setting limits.orphan is about other requests, those that nobody reads.
 func (c *Coordinator) recoverOrphan(ctx context.Context, f *request.Flight, req Request, holder claim.Attempt) request.Answer {
 	rec := c.queryKeepers(ctx, f.Key)
 	if rec != nil && len(rec.Answer) > 0 {
@@ -79,11 +80,14 @@
 	// This flight released its attempt when it began to follow the lost one.
 	f.Attempt = uuid.NewString()
 	c.Attempts.Begin(f.Attempt, c.Now())
+	// The claim lets later tries by the key find this attempt. A repeatable request
+	// is sent whatever the vote.
 	c.requestVotes(ctx, c.Shards(), f, req, []string{holder.ID})
 	return c.send(ctx, f, req, resumeFrom)
 }
 
-// LookupRecord returns the keepers' record of a full key, or nil.
+// LookupRecord returns the keepers' record of the request with a full key
+// (customer/key), or nil.
 func (c *Coordinator) LookupRecord(ctx context.Context, fullKey string) *claim.Record {
 	return c.queryKeepers(ctx, fullKey)
 }
@@ -125,6 +129,8 @@
 // interruptedAnswer is the answer to a flight that passed its deadline or was
 // cancelled: by its caller, because it was abandoned, or by the node's shutdown.
 func (c *Coordinator) interruptedAnswer(f *request.Flight, req Request) request.Answer {
+	// Release succeeds only if the request has not been sent, and prevents it from
+	// being sent later.
 	if c.Attempts.Release(f.Attempt, c.Now()) {
 		return request.Refused(http.StatusGatewayTimeout, codeDeadline, "the request's time was up before it was sent", request.Jitter(time.Second))
 	}
--- a/src/serve/move.go
+++ b/src/serve/move.go
@@ -17,7 +17,7 @@
 }
 
 // decideMove chooses how a stream proceeds when its engine leaves, and moves its KV
-// cache if that is chosen.
+// cache if that is chosen: another engine imports it, at the rate KVTransferTPS.
 func (r *completionRun) decideMove(ctx context.Context, slot engineSlot, streamID string) moveDecision {
 	_, deadline := r.coord.Registry.Leaving(slot.Name)
 	_, delivered := r.flight.Delivered()
--- a/src/serve/queues.go
+++ b/src/serve/queues.go
@@ -44,8 +44,8 @@
 // channel.
 type waiter struct {
 	promptBytes int
-	blocks      []uint64
-	resuming    bool // the caller has received tokens, so the request must not be refused
+	blocks      []uint64 // prefix block hashes of the prompt
+	resuming    bool     // the caller has received tokens, so the request must not be refused
 	slot        chan engineSlot
 }
 
@@ -210,8 +210,8 @@
 	if !ok {
 		return engineSlot{}, false
 	}
-	uncached := max(float64(w.promptBytes)/bytesPerToken-float64(choice.CachedBlocks)*blockTokens*choice.CacheConfidence, 1)
-	return engineSlot{choice, qs.coord.Registry.Begin(choice.Name, uncached, w.blocks)}, true
+	uncachedTokens := max(float64(w.promptBytes)/bytesPerToken-float64(choice.CachedBlocks)*blockTokens*choice.CacheConfidence, 1)
+	return engineSlot{choice, qs.coord.Registry.Begin(choice.Name, uncachedTokens, w.blocks)}, true
 }
 
 // blockTokens is the estimated number of tokens in a prefix block of 256 bytes.
@@ -292,8 +292,10 @@
 	return qs.coord.Settings.Limits.FirstToken
 }
 
-// estimateWait estimates how long a new request would be queued: the cost ahead of
-// it over the rate at which this node's share of the slots is released.
+// estimateWait estimates how long a new request would wait in the queue: the cost of
+// the requests ahead of it, divided by the slots released per second. A slot is
+// released holdSeconds after it was taken, on average, and each of the nodes uses
+// an equal share of all slots.
 func (q *modelQueue) estimateWait(cands []upstream.Candidate, req Request, nodes int) time.Duration {
 	slots := 0.0
 	for _, c := range cands {
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -12,7 +12,8 @@
 	"github.com/crankridge/crankridge/src/upstream"
 )
 
-// queuedReportInterval is the polling interval while requests are queued.
+// queuedReportInterval is the maximum polling interval while requests are queued.
+// It is also the maximum time between two checks of which polls are due.
 const queuedReportInterval = 300 * time.Millisecond
 
 func newReadResponse(after int64, tokens []string, answer *request.Answer) *peer.ReadResponse {
@@ -93,8 +94,8 @@
 	}
 }
 
-// Explain returns the recorded decisions about the request with a full key, or all
-// if subject is empty.
+// Explain returns the recorded decisions about the request whose full key
+// (customer/key) is subject, or all decisions if subject is empty.
 func (c *Coordinator) Explain(subject string) []telemetry.Decision {
 	return c.decisions.ForSubject(subject)
 }
--- a/src/settings/control.go
+++ b/src/settings/control.go
@@ -23,13 +23,14 @@
 	LeaseTTL      time.Duration `yaml:"lease"`
 	Round         time.Duration `yaml:"round"` // interval between planning rounds
 	WeightsRate   float64       `yaml:"weights_bytes_per_second"`
-	Margin        time.Duration `yaml:"margin"`  // added to the estimated time to boot a VM and load a model
-	BootTime      time.Duration `yaml:"boot"`    // estimated boot time of a VM
-	Recheck       time.Duration `yaml:"recheck"` // interval between state reads of an unchanged engine
-	KVTransferTPS float64       `yaml:"move_tokens_per_second"`
-	MaxServers    int           `yaml:"most_servers"` // limit of bought VMs
+	Margin        time.Duration `yaml:"margin"`                 // added to the estimated time to boot a VM and load a model
+	BootTime      time.Duration `yaml:"boot"`                   // estimated boot time of a VM
+	Recheck       time.Duration `yaml:"recheck"`                // interval between state reads of an unchanged engine
+	KVTransferTPS float64       `yaml:"move_tokens_per_second"` // transfer rate of KV caches between engines
+	MaxServers    int           `yaml:"most_servers"`           // limit of bought VMs
 	VMPrefix      string        `yaml:"vm_prefix"`
-	// Spread false disables spreading over failure domains, for measurements only.
+	// Spread makes the planner spread servers over failure domains. It is disabled
+	// only for measurements.
 	Spread       bool `yaml:"spread"`
 	OnDemandOnly bool `yaml:"on_demand_only"`
 }
--- a/src/settings/load.go
+++ b/src/settings/load.go
@@ -23,8 +23,8 @@
 type validator interface{ validate() error }
 
 // load decodes path into cfg, which holds the defaults, and validates the result.
-// Errors for unknown fields, duplicate keys and values of the wrong type name
-// file, line and column.
+// Errors about unknown fields, duplicate keys and values of the wrong type state
+// the file, line and column.
 func load(path string, cfg validator) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/src/settings/standin.go
+++ b/src/settings/standin.go
@@ -28,8 +28,8 @@
 	Listen  string         `yaml:"listen"`
 	VMs     []StandinVM    `yaml:"vms"`
 	Offers  []StandinOffer `yaml:"offers"`
-	Shape   StandinShape   `yaml:"shape"`
-	Weights string         `yaml:"weights"`
+	Shape   StandinShape   `yaml:"shape"`   // of the engines on VMs that are bought
+	Weights string         `yaml:"weights"` // address of the weight store that they load from
 }
 
 // StandinVM is a VM that is running at startup.
@@ -65,7 +65,7 @@
 	StepPerSeq  float64 `yaml:"step_per_seq"` // ms that each further stream adds to a step
 	CacheBlocks int     `yaml:"cache_blocks"`
 	MoveTPS     float64 `yaml:"move_tps"` // KV cache transfer rate, tokens per second
-	LagMS       int     `yaml:"lag_ms"`   // age of the load report
+	LagMS       int     `yaml:"lag_ms"`   // age of the load report, ms
 }
 
 // StandinEngine configures a model engine.
@@ -74,7 +74,7 @@
 	Listen  string       `yaml:"listen"`
 	Models  []string     `yaml:"models"`
 	Version string       `yaml:"version"`
-	Weights string       `yaml:"weights"`
+	Weights string       `yaml:"weights"` // address of the weight store
 	Shape   StandinShape `yaml:"shape"`
 }
 
--- a/src/standin/cloud.go
+++ b/src/standin/cloud.go
@@ -20,7 +20,7 @@
 // CloudFaults are the faults that the cloud simulates.
 type CloudFaults struct {
 	Refuse        []string `json:"refuse"`       // offers refused: failure domains, "reclaimable" or "all"
-	LagMS         int      `json:"lag_ms"`       // age of the VM list served
+	LagMS         int      `json:"lag_ms"`       // age of the VM list served, ms
 	DropResponses int      `json:"lose_answers"` // number of creations to perform without a response
 	Down          bool     `json:"down"`
 }
@@ -234,8 +234,8 @@
 type ReclaimRequest struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure_domain"`
-	Role          string `json:"role"` // "" for all
-	NoticeMS      int64  `json:"notice_ms"`
+	Role          string `json:"role"`      // "" for all
+	NoticeMS      int64  `json:"notice_ms"` // time from the notice to the termination, ms
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -17,11 +17,11 @@
 type EngineShape struct {
 	Slots       int     `json:"slots"`        // maximum batch size
 	PrefillTPS  float64 `json:"prefill_tps"`  // prompt tokens per second, all streams together
-	StepMS      float64 `json:"step_ms"`      // duration of a decode step with one stream
+	StepMS      float64 `json:"step_ms"`      // duration of a decode step with one stream, ms
 	StepPerSeq  float64 `json:"step_per_seq"` // ms that each further stream adds to a step
 	CacheBlocks int     `json:"cache_blocks"` // capacity of the prefix cache
 	MoveTPS     float64 `json:"move_tps"`     // KV cache transfer rate, tokens per second
-	LagMS       int     `json:"lag_ms"`       // age of the load report
+	LagMS       int     `json:"lag_ms"`       // age of the load report, ms
 }
 
 // DefaultEngineShape replaces the unset fields of an EngineShape.
@@ -233,6 +233,7 @@
 	}
 }
 
+// cancelOrphans cancels the streams that nobody has read for orphanTimeout.
 func (e *Engine) cancelOrphans() {
 	for id, s := range e.streams {
 		if s.readers == 0 && !s.readersChanged.IsZero() && time.Since(s.readersChanged) > orphanTimeout {
--- a/src/standin/kv.go
+++ b/src/standin/kv.go
@@ -25,7 +25,7 @@
 // KVFaults are the faults that the key-value service simulates.
 type KVFaults struct {
 	Down          bool `json:"down"`
-	DelayMS       int  `json:"delay_ms"`
+	DelayMS       int  `json:"delay_ms"`     // delay before each request is handled, ms
 	DropResponses int  `json:"lose_answers"` // number of writes to perform without a response
 	StaleReads    bool `json:"stale_reads"`  // range requests return the data as of when this was set
 }
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -23,7 +23,7 @@
 // ServiceFaults are the faults that a plain service simulates. Counts apply to
 // the next calls.
 type ServiceFaults struct {
-	DelayMS     int  `json:"delay_ms"`     // time between execution and response
+	DelayMS     int  `json:"delay_ms"`     // time between execution and response, ms
 	ResetBefore int  `json:"reset_before"` // calls reset before execution
 	ResetDuring int  `json:"reset_during"` // calls reset while their body is read; they are not executed
 	ResetAfter  int  `json:"reset_after"`  // calls executed, then reset without a response
@@ -73,11 +73,11 @@
 }
 
 type serviceResponse struct {
-	Service string `json:"service"`
-	Path    string `json:"path"`
-	Key     string `json:"key"`
-	Runs    int    `json:"runs"`
-	Body    string `json:"body_sha256"`
+	Service    string `json:"service"`
+	Path       string `json:"path"`
+	Key        string `json:"key"`
+	Runs       int    `json:"runs"`
+	BodySHA256 string `json:"body_sha256"`
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	sum := sha256.Sum256(body)
-	writeJSON(w, http.StatusOK, serviceResponse{Service: s.name, Path: r.URL.Path, Key: key, Runs: runs, Body: hex.EncodeToString(sum[:])})
+	writeJSON(w, http.StatusOK, serviceResponse{Service: s.name, Path: r.URL.Path, Key: key, Runs: runs, BodySHA256: hex.EncodeToString(sum[:])})
 }
 
 // takeBodyReset reports whether to reset this call while its body is read.
--- a/src/traffic/config.go
+++ b/src/traffic/config.go
@@ -38,7 +38,7 @@
 	Timeout      time.Duration // maximum duration of a request
 	Objective    time.Duration // latency objective
 	GapObjective time.Duration // objective for the time between events of a stream
-	Priority     int           // 0 is the highest
+	Priority     int           // 0 is the highest, unlike in package catalog
 	Split        []WeightedService
 	MaxAttempts  int  // maximum number of servers tried per client attempt
 	Public       bool // requests need no API key
@@ -66,14 +66,15 @@
 	Scaling        *Scaling // nil if no servers can be ordered
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the model engines of a service. Only Slots is used; the other
+// fields are decoded but have no effect.
 type Engine struct {
-	Slots       int
-	CacheTokens int // capacity of the KV cache
-	TokenBytes  int // size of a token in the KV cache
-	LinkMbps    float64
-	KVTransfer  bool
-	KVHandleTTL time.Duration
+	Slots       int           // requests that an engine runs at a time
+	CacheTokens int           // capacity of the KV cache
+	TokenBytes  int           // size of a token in the KV cache
+	LinkMbps    float64       // bandwidth of the network link, Mbit/s
+	KVTransfer  bool          // KV caches can be moved between engines
+	KVHandleTTL time.Duration // lifetime of a handle, by which another engine fetches a KV cache
 }
 
 // Scaling configures the scaling of a service. Min and Max are numbers of servers
@@ -82,19 +83,19 @@
 	Min, Max      int
 	Boot          time.Duration      // time to boot a server
 	SpotPrice     float64            // fraction of the on-demand price
-	DomainPrices  map[string]float64 // by failure domain
+	DomainPrices  map[string]float64 // price of a server by failure domain; only their order matters
 	SortedDomains []string           // sorted keys of DomainPrices
 }
 
 // Customer is an organisation with its API keys and its rate limit.
 type Customer struct {
 	Name          string
-	Keys          []string
-	Priority      *int    // overrides the priority of the route
-	LimitsTokens  bool    // the rate limit counts tokens instead of requests
-	DefaultTokens int     // tokens counted for a request that does not state them
-	Rate          float64 // tokens or requests per second
-	Burst         float64 // tokens or requests
+	Keys          []string // API keys, sent as bearer tokens
+	Priority      *int     // overrides the priority of the route
+	LimitsTokens  bool     // the rate limit counts tokens instead of requests
+	DefaultTokens int      // tokens counted for a request that does not state them
+	Rate          float64  // tokens or requests per second
+	Burst         float64  // tokens or requests
 }
 
 // Limits are the limits of client connections and requests.
--- a/src/upstream/candidate.go
+++ b/src/upstream/candidate.go
@@ -28,7 +28,7 @@
 	OwnRequests     int     // requests of this node in progress
 	QueuedTokens    float64 // estimated prompt tokens not yet prefilled
 	PrefillTPS      float64 // prefill rate in tokens per second
-	StepMS          float64 // time between tokens of a stream
+	StepMS          float64 // time between tokens of a stream, ms
 	CachedBlocks    int     // leading blocks of the request expected in the prefix cache
 	CacheConfidence float64 // 0 to 1, decays with the time since the last of them was seen
 	SlowStartWeight float64 // 0 to 1, below 1 after an ejection
--- a/src/upstream/registry.go
+++ b/src/upstream/registry.go
@@ -12,18 +12,19 @@
 const (
 	ejectInitial       = 500 * time.Millisecond
 	ejectMax           = 30 * time.Second
-	ejectThreshold     = 2 // consecutive failures after which an upstream is ejected
-	slowStartSuccesses = 4 // successes after an ejection until the upstream has full weight
-	idleAfter          = 30 * time.Second
+	ejectThreshold     = 2                // consecutive failures after which an upstream is ejected
+	slowStartSuccesses = 4                // successes after an ejection until the upstream has full weight
+	idleAfter          = 30 * time.Second // time since its last request after which an upstream counts as idle
 	idlePollFactor     = 4                // factor on the report interval of an idle upstream
 	leavingRetention   = 10 * time.Minute // time after its deadline that a leaving mark is kept
 	prefillEWMAWeight  = 0.2
-	cacheHalfLife      = 2 * time.Minute
+	cacheHalfLife      = 2 * time.Minute // half-life of Candidate.CacheConfidence
 	maxCachedBlocks    = 20000
 	sentRetention      = 30 * time.Second // maximum age of a sentRequest
 )
 
-// Upstream is a node's state of one upstream, guarded by the lock of its Registry.
+// Upstream is what this node knows about one upstream. It is guarded by the lock
+// of its Registry.
 type Upstream struct {
 	Published
 	leaving         chan struct{} // closed when the upstream is marked as leaving
@@ -54,7 +55,8 @@
 	endedAt time.Time // zero while in progress
 }
 
-// Registry holds a node's state of all upstreams. It is safe for concurrent use.
+// Registry holds what this node knows about all upstreams. It is safe for
+// concurrent use.
 type Registry struct {
 	mu               sync.Mutex
 	now              func() time.Time
@@ -78,8 +80,9 @@
 	r.mu.Unlock()
 }
 
-// Replace replaces the published lists. Upstreams that are no longer listed are
-// removed; measurements of the others are kept.
+// Replace installs the lists of upstreams that the planner has published in the
+// store. Upstreams that are no longer listed are removed; measurements of the
+// others are kept.
 func (r *Registry) Replace(domains []DomainUpstreams) {
 	r.mu.Lock()
 	seen := map[string]bool{}
@@ -95,6 +98,7 @@
 	}
 	for name, u := range r.upstreams {
 		if !seen[name] {
+			// Notifies the requests that still run on it.
 			u.markLeaving(r.now())
 			delete(r.upstreams, name)
 		}
@@ -109,6 +113,7 @@
 func (r *Registry) update(p Published) {
 	u := r.upstreams[p.Name]
 	if u == nil || u.Addr != p.Addr {
+		// At another address it is another instance, and nothing is known about it.
 		if u != nil {
 			u.markLeaving(r.now())
 		}
@@ -141,7 +146,8 @@
 
 // MarkLeaving marks an upstream as leaving: it is no longer a candidate. The
 // deadline of an upstream that is not published yet is recorded too, but the
-// upstream is marked only if it is then published as leaving.
+// upstream is marked only if it is then published as leaving: the deadline may be
+// that of an earlier instance with the same name.
 func (r *Registry) MarkLeaving(name string, deadline time.Time) {
 	if r.setLeaving(name, deadline) && r.onLeaving != nil {
 		r.onLeaving(name, deadline)
@@ -203,9 +209,10 @@
 	return u.leaving, u.leavingDeadline
 }
 
-// RecordFailure records a failed request. A failure to connect ejects the
-// upstream at once, other failures after ejectThreshold in a row.
-func (r *Registry) RecordFailure(name string, connect bool) {
+// RecordFailure records a failed request or poll. With ejectNow, which callers set
+// if they could not connect, it ejects the upstream at once; otherwise after
+// ejectThreshold failures in a row.
+func (r *Registry) RecordFailure(name string, ejectNow bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := r.upstreams[name]
@@ -213,7 +220,7 @@
 		return
 	}
 	u.failures++
-	if !connect && u.failures < ejectThreshold {
+	if !ejectNow && u.failures < ejectThreshold {
 		return
 	}
 	u.backoff = min(max(u.backoff*2, ejectInitial), ejectMax)
@@ -314,6 +321,7 @@
 		u.cachedBlocks[b] = r.now()
 	}
 	if hits < len(blocks) {
+		// A miss suggests that the engine evicts blocks.
 		u.dropOldestBlocks()
 	}
 }
