--- a/src/caller/endpoints.go
+++ b/src/caller/endpoints.go
@@ -21,9 +21,9 @@
 
 // Endpoints is the response body of GET /v1/endpoints, in order of preference.
 type Endpoints struct {
-	Endpoints []Endpoint `json:"endpoints"`
-	TTLS      int        `json:"ttl_s"` // lifetime of the response, in seconds
-	Revision  int64      `json:"revision"`
+	Endpoints  []Endpoint `json:"endpoints"`
+	TTLSeconds int        `json:"ttl_s"` // lifetime of the response, in seconds
+	Revision   int64      `json:"revision"`
 }
 
 // serveEndpoints returns the endpoints for a caller. It requires no bearer key.
@@ -39,7 +39,7 @@
 			nodes = append(nodes, n)
 		}
 	}
-	out := Endpoints{Endpoints: []Endpoint{}, TTLS: int(s.config.Stop.TTL.Seconds())}
+	out := Endpoints{Endpoints: []Endpoint{}, TTLSeconds: int(s.config.Stop.TTL.Seconds())}
 	for _, n := range Order(nodes, caller, s.fleet.Load) {
 		out.Endpoints = append(out.Endpoints, Endpoint{n.Callers, n.FailureDomain, n.Region})
 	}
--- a/src/claim/claim_test.go
+++ b/src/claim/claim_test.go
@@ -75,7 +75,7 @@
 	m := n.nodes[i]
 	m.gen++
 	m.self = Node{Name: fmt.Sprintf("n%d", i), Incarnation: fmt.Sprint(m.gen), FailureDomain: fmt.Sprintf("d%d", i)}
-	m.ledger = NewLedger(m.self, Limits{Window: time.Hour, MaxRecords: 100})
+	m.ledger = NewLedger(m.self, Limits{Retention: time.Hour, MaxRecords: 100})
 	m.states = NewAttempts()
 	m.shardMap = Map{}
 }
@@ -402,7 +402,7 @@
 
 // newKeeper returns the ledger of a node that has observed m.
 func newKeeper(n Node, m Map) *Ledger {
-	l := NewLedger(n, Limits{Window: time.Hour, MaxRecords: 10, AnswerBytes: 100})
+	l := NewLedger(n, Limits{Retention: time.Hour, MaxRecords: 10, AnswerBytes: 100})
 	l.Observe(m)
 	return l
 }
--- a/src/claim/decide.go
+++ b/src/claim/decide.go
@@ -14,12 +14,12 @@
 
 // Tally counts the replies to one round of claims.
 type Tally struct {
-	Asked    int // keepers that were sent the claim
-	Required int // keepers that must store the claim: Majority, except on a single node
-	Stored   int
-	Failed   int      // no reply, not ready, or full
-	Stale    int      // the claim's epoch has ended
-	Holders  []Record // records of the key, from the keepers at which another attempt holds it
+	Asked       int // keepers that were sent the claim
+	Required    int // keepers that must store the claim: Majority, except on a single node
+	Stored      int
+	Failed      int      // no reply, not ready, or full
+	Stale       int      // the claim's epoch has ended
+	HeldRecords []Record // records of the key, from the keepers at which another attempt holds it
 }
 
 // Add counts a reply; nil means that none was received.
@@ -30,7 +30,7 @@
 	case r.Verdict == Stored:
 		t.Stored++
 	case r.Verdict == Held && r.Held != nil:
-		t.Holders = append(t.Holders, *r.Held)
+		t.HeldRecords = append(t.HeldRecords, *r.Held)
 	case r.Verdict == StaleEpoch:
 		t.Stale++
 	default:
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t *Tally) replies() int { return t.Stored + t.Failed + t.Stale + len(t.Holders) }
+func (t *Tally) replies() int { return t.Stored + t.Failed + t.Stale + len(t.HeldRecords) }
 
 // Decide returns the decision that follows from the replies so far.
 func (t *Tally) Decide() Decision {
@@ -48,9 +48,9 @@
 		return Granted
 	case t.Stored+pending >= t.Required && pending > 0:
 		return Wait // the attempt can still be granted
-	case pending > 0 && len(t.Holders) == 0:
+	case pending > 0 && len(t.HeldRecords) == 0:
 		return Wait // it cannot, but a pending reply may name a rival attempt
-	case len(t.Holders) > 0:
+	case len(t.HeldRecords) > 0:
 		return Contested
 	case t.Stale > 0:
 		return Outdated
@@ -62,7 +62,7 @@
 func (t *Tally) Rivals(own string) []Attempt {
 	seen := map[string]bool{own: true}
 	var out []Attempt
-	for _, h := range t.Holders {
+	for _, h := range t.HeldRecords {
 		for _, a := range h.Attempts {
 			if !seen[a.ID] {
 				seen[a.ID] = true
--- a/src/claim/ledger.go
+++ b/src/claim/ledger.go
@@ -63,7 +63,7 @@
 
 // Limits bound a ledger.
 type Limits struct {
-	Window      time.Duration // for which a record is kept after its creation
+	Retention   time.Duration // for which a record is kept after its creation
 	MaxRecords  int           // claims for new keys are refused from here on; a handover may exceed it
 	AnswerBytes int           // larger answers are not stored
 }
@@ -295,7 +295,7 @@
 func (l *Ledger) Expire(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	oldest := now.Add(-l.limits.Window).UnixMilli()
+	oldest := now.Add(-l.limits.Retention).UnixMilli()
 	for _, s := range l.shards {
 		for key, r := range s.records {
 			if r.CreatedMS < oldest {
--- a/src/cluster/exchange.go
+++ b/src/cluster/exchange.go
@@ -306,7 +306,7 @@
 // addChanges adds the store changes after revision from.
 func (n *Node) addChanges(out *Message, from int64) {
 	delta := n.View.DeltaSince(from)
-	out.Complete, out.Whole = delta.Complete, delta.Whole
+	out.Complete, out.Whole = delta.CompleteRevision, delta.IsSnapshot
 	for _, it := range delta.Items {
 		out.Items = append(out.Items, &Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
 	}
@@ -326,7 +326,7 @@
 	if len(m.Items) == 0 && !m.Whole {
 		return
 	}
-	delta := view.Delta{Complete: m.Complete, Whole: m.Whole}
+	delta := view.Delta{CompleteRevision: m.Complete, IsSnapshot: m.Whole}
 	for _, it := range m.Items {
 		delta.Items = append(delta.Items, ports.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
 	}
--- a/src/ctl/inspect.go
+++ b/src/ctl/inspect.go
@@ -243,7 +243,7 @@
 	for _, a := range e.Endpoints {
 		fmt.Printf("%s %s %s\n", a.Address, a.FailureDomain, a.Region)
 	}
-	fmt.Printf("use them for %d s; revision %d\n", e.TTLS, e.Revision)
+	fmt.Printf("use them for %d s; revision %d\n", e.TTLSeconds, e.Revision)
 	return nil
 }
 
--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -66,7 +66,7 @@
 	}
 	n.mergeDigest(resp.Digest)
 	if resp.Complete > n.revision() {
-		n.view.ApplyPeer(view.Delta{Items: itemsFromProto(resp.Items), Complete: resp.Complete, Whole: resp.Whole})
+		n.view.ApplyPeer(view.Delta{Items: itemsFromProto(resp.Items), CompleteRevision: resp.Complete, IsSnapshot: resp.Whole})
 	}
 }
 
@@ -78,7 +78,7 @@
 	resp := &peer.ExchangeResponse{Digest: n.digest(), Complete: n.revision()}
 	if digest.GetComplete() < resp.Complete {
 		delta := n.view.DeltaSince(digest.GetComplete())
-		resp.Complete, resp.Whole = delta.Complete, delta.Whole
+		resp.Complete, resp.Whole = delta.CompleteRevision, delta.IsSnapshot
 		for _, it := range delta.Items {
 			resp.Items = append(resp.Items, &peer.Item{Key: it.Key, Value: it.Value, Revision: it.Revision, Deleted: it.Deleted})
 		}
@@ -126,7 +126,7 @@
 	if d == nil {
 		return
 	}
-	n.fleet.Heard(d.Node, int(d.Inflight))
+	n.fleet.RecordMessage(d.Node, int(d.Inflight))
 	for _, dm := range d.Demands {
 		n.limiter.MergeDemand(admit.Demand{Node: dm.Node, Customer: dm.Customer, Rate: float64(dm.Rate), At: time.UnixMilli(dm.AtMs)})
 	}
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -83,7 +83,7 @@
 	n.pool = peer.NewPool(cfg.Secrets.Peer)
 	n.limiter = admit.NewLimiter(cfg.Node.Name)
 	keeper := claim.Node{Name: n.self.Name, Incarnation: n.self.Incarnation, Addr: n.self.Peers, FailureDomain: n.self.FailureDomain, VM: n.self.VM}
-	n.ledger = claim.NewLedger(keeper, claim.Limits{Window: cfg.Claims.Window, MaxRecords: cfg.Claims.Records, AnswerBytes: cfg.Claims.KeptBytes})
+	n.ledger = claim.NewLedger(keeper, claim.Limits{Retention: cfg.Claims.Window, MaxRecords: cfg.Claims.Records, AnswerBytes: cfg.Claims.KeptBytes})
 	n.coord = &serve.Coordinator{
 		Self: keeper, Settings: cfg, Fleet: n.fleet, Registry: n.registry, Pool: n.pool, Ledger: n.ledger, Attempts: claim.NewAttempts(),
 		Engines: engine.NewClient(engineDialTimeout, engineTimeout), Metrics: metrics, Limiter: n.limiter, Now: time.Now,
--- a/src/member/node.go
+++ b/src/member/node.go
@@ -138,7 +138,7 @@
 }
 
 // Heard records a message from a node and the load that it reported.
-func (f *Fleet) Heard(name string, load int) {
+func (f *Fleet) RecordMessage(name string, load int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard[name] = f.now()
--- a/src/request/outcome.go
+++ b/src/request/outcome.go
@@ -16,11 +16,11 @@
 // Outcomes of a request. NotRun is used only if no byte of the request reached
 // an upstream, or the upstream refused it before starting.
 const (
-	Completed  Outcome = "completed"
-	NotRun     Outcome = "not-run"
-	MayHaveRun Outcome = "may-have-run"
-	Ran        Outcome = "ran" // the request ran and failed; see Failed
-	Cancelled  Outcome = "cancelled"
+	Completed    Outcome = "completed"
+	NotRun       Outcome = "not-run"
+	MayHaveRun   Outcome = "may-have-run"
+	RanAndFailed Outcome = "ran" // the request ran and failed; see Failed
+	Cancelled    Outcome = "cancelled"
 )
 
 // Answer is the result of a request, as returned to callers, stored by keepers
@@ -75,5 +75,5 @@
 
 // Failed returns the answer, with outcome Ran, to a request that ran and failed.
 func Failed(status int, code, message string) Answer {
-	return Answer{Outcome: Ran, Status: status, Code: code, Message: message}
+	return Answer{Outcome: RanAndFailed, Status: status, Code: code, Message: message}
 }
--- a/src/serve/call.go
+++ b/src/serve/call.go
@@ -108,7 +108,7 @@
 	}
 	a := request.Answer{Outcome: request.Completed, Status: resp.StatusCode, Body: body, Header: http.Header{}}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		a.Outcome = request.Ran
+		a.Outcome = request.RanAndFailed
 	}
 	for name, values := range resp.Header {
 		a.Header[name] = values
--- a/src/serve/claims.go
+++ b/src/serve/claims.go
@@ -178,7 +178,7 @@
 // round supersedes.
 func (c *Coordinator) resolveHolders(ctx context.Context, f *request.Flight, req Request, t *claim.Tally) (*claimResult, []lostAttempt) {
 	repeatable := req.Repeatable
-	for _, h := range t.Holders {
+	for _, h := range t.HeldRecords {
 		if string(h.Digest) != string(f.Digest) {
 			return &claimResult{answer: keyReused()}, nil
 		}
--- a/src/serve/stream.go
+++ b/src/serve/stream.go
@@ -204,6 +204,6 @@
 	text := r.completion.PromptText()
 	r.coord.Registry.RecordCacheUsage(slot.Name, engine.Blocks(text), cached)
 	if delivered > 0 {
-		r.coord.Metrics.Recomputed(r.recomputeCause, usage.PromptTokens, usage.PromptTokens-usage.PromptDetails.CachedTokens)
+		r.coord.Metrics.MovedTokens(r.recomputeCause, usage.PromptTokens, usage.PromptTokens-usage.PromptDetails.CachedTokens)
 	}
 }
--- a/src/telemetry/metrics.go
+++ b/src/telemetry/metrics.go
@@ -74,7 +74,7 @@
 
 // Recomputed counts the tokens carried over when a stream was moved, and those
 // among them that had to be recomputed.
-func (m *Metrics) Recomputed(cause string, carried, recomputedTokens int) {
+func (m *Metrics) MovedTokens(cause string, carried, recomputedTokens int) {
 	m.carried.Add(context.Background(), int64(carried), attrs("cause", cause))
 	m.recomputed.Add(context.Background(), int64(recomputedTokens), attrs("cause", cause))
 }
--- a/src/traffic/headers.go
+++ b/src/traffic/headers.go
@@ -6,7 +6,7 @@
 	RequestID      string // ID of a client attempt, forwarded unchanged
 	DeadlineMs     string // milliseconds left for the receiver
 	LastEventID    string // ID of the last event received
-	Signature      string // ID of the server that responds
+	ServerStamp    string // ID of the server that responds
 	Customer       string // name of the customer, set by the gateway
 	ExpectInstance string // ID of the intended server
 	NotExecuted    string // set by a server that did not run the request
--- a/src/view/follow_test.go
+++ b/src/view/follow_test.go
@@ -37,7 +37,7 @@
 	is.Equal(<-service.watches, int64(6))
 	complete, _ := v.Complete()
 	is.Equal(v.CancelStalledWatch(complete), false) // no change has arrived by another path
-	v.ApplyPeer(Delta{Items: []ports.Item{{Key: "a", Revision: 9}}, Complete: 9})
+	v.ApplyPeer(Delta{Items: []ports.Item{{Key: "a", Revision: 9}}, CompleteRevision: 9})
 	is.Equal(v.CancelStalledWatch(9), true)
 	select {
 	case from := <-service.watches:
--- a/src/view/view.go
+++ b/src/view/view.go
@@ -83,11 +83,11 @@
 
 // Delta is a set of changes that one view passes to another.
 type Delta struct {
-	Items    []ports.Item
-	Complete int64 // revision up to which the receiver lacks nothing after merging
+	Items            []ports.Item
+	CompleteRevision int64 // revision up to which the receiver lacks nothing after merging
 	// Whole marks a snapshot: Items are all live items, and any other key has
 	// been deleted. Otherwise Items are the changes, deletions included.
-	Whole bool
+	IsSnapshot bool
 }
 
 // ApplyList merges a full listing read at revision rev. Keys missing from the
@@ -133,11 +133,11 @@
 func (v *View) ApplyPeer(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if d.Whole {
-		v.applyListing(d.Items, d.Complete, FromPeer)
+	if d.IsSnapshot {
+		v.applyListing(d.Items, d.CompleteRevision, FromPeer)
 		return
 	}
-	v.merge(d.Items, d.Complete, FromPeer)
+	v.merge(d.Items, d.CompleteRevision, FromPeer)
 }
 
 func (v *View) merge(items []ports.Item, complete int64, src Source) {
@@ -211,9 +211,9 @@
 func (v *View) DeltaSince(rev int64) Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	d := Delta{Complete: v.complete, Whole: rev < v.tombstoneFloor}
+	d := Delta{CompleteRevision: v.complete, IsSnapshot: rev < v.tombstoneFloor}
 	for _, it := range v.items {
-		if d.Whole && !it.Deleted || !d.Whole && it.Revision > rev {
+		if d.IsSnapshot && !it.Deleted || !d.IsSnapshot && it.Revision > rev {
 			d.Items = append(d.Items, it)
 		}
 	}
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -41,7 +41,7 @@
 	is.Equal(run.Path, "/once/a%2Fb?x=1&y=%20")
 	is.Equal(run.Body, "bytes")
 	is.Equal(run.Customer, testCustomer) // not the client's own Tenant header
-	is.Equal(run.Key, "")                // the API key is not forwarded
+	is.Equal(run.Authorization, "")      // the API key is not forwarded
 	deadline := 0
 	_, err := fmt.Sscan(run.Deadline, &deadline)
 	is.NoErr(err)
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -530,8 +530,8 @@
 	for _, server := range s.servers {
 		for _, run := range server.Runs() {
 			runs[run.ID]++
-			if run.Customer != testCustomer || run.Key != "" {
-				s.addFailure("%s ran for %q with key %q", run.ID, run.Customer, run.Key)
+			if run.Customer != testCustomer || run.Authorization != "" {
+				s.addFailure("%s ran for %q with key %q", run.ID, run.Customer, run.Authorization)
 			}
 		}
 	}
