--- a/test/at_most_once_test.go
+++ b/test/at_most_once_test.go
@@ -84,6 +84,8 @@
 	return results
 }
 
+// No booking may run twice, or run and be reported as not run, whatever fails while
+// it is in progress.
 func TestBookingsRunOnceThroughFailures(t *testing.T) {
 	slow := standin.ServiceFaults{DelayMS: 30}
 	for _, c := range []struct {
@@ -95,8 +97,8 @@
 		{"no fault", func(*testbed) {}, nil, 0},
 		{"coordinator paused and resumed", func(b *testbed) { b.nodes[0].signal(syscall.SIGSTOP) }, func(b *testbed) { b.nodes[0].signal(syscall.SIGCONT) }, 300},
 		{"coordinator killed", func(b *testbed) { b.nodes[0].kill() }, nil, 300},
-		{"replica paused and resumed", func(b *testbed) { b.nodes[3].signal(syscall.SIGSTOP) }, func(b *testbed) { b.nodes[3].signal(syscall.SIGCONT) }, 0},
-		{"replica killed", func(b *testbed) { b.nodes[3].kill() }, nil, 0},
+		{"keeper paused and resumed", func(b *testbed) { b.nodes[3].signal(syscall.SIGSTOP) }, func(b *testbed) { b.nodes[3].signal(syscall.SIGCONT) }, 0},
+		{"keeper killed", func(b *testbed) { b.nodes[3].kill() }, nil, 0},
 		{"coordinator disconnected from its peers", func(b *testbed) { b.nodes[0].peerLink.disconnect() }, func(b *testbed) { b.nodes[0].peerLink.reconnect(b.t) }, 300},
 		{"service resets before it runs", func(b *testbed) {
 			b.postAdmin(b.services[0], "faults", standin.ServiceFaults{ResetBefore: 20, DelayMS: 30})
@@ -229,6 +231,8 @@
 	is.Equal(status.State, "unknown") // a customer cannot see another's request
 }
 
+// While the key-value service is down, shards with two of their three keepers must
+// serve and others must refuse without delay; all must recover with the service.
 func TestKeyValueServiceDown(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 5, domains: 5, engines: 5, services: 2, modelServers: 1, ttl: "100ms"})
@@ -260,16 +264,16 @@
 	is.Equal(completed, 60)
 	b.nodes[4].kill()
 	completed, _, _ = serve([]int{0, 1, 2, 3}, "one-lost")
-	is.Equal(completed, 60) // every shard has at least two of its three replicas
+	is.Equal(completed, 60) // every shard has at least two of its three keepers
 	b.nodes[3].kill()
 	completed, notRun, slowestMS := serve([]int{0, 1, 2}, "two-lost")
 	t.Logf("two nodes lost, key-value service down: %d completed, %d refused, slowest refusal %d ms", completed, notRun, slowestMS)
-	is.True(notRun > 0 && notRun < 30) // only shards that lost two replicas refuse
+	is.True(notRun > 0 && notRun < 30) // only shards that lost two keepers refuse
 	is.True(slowestMS < 2000)
 	runs := b.runCounts()
 	is.True(!slices.ContainsFunc(mapValues(runs), func(n int) bool { return n > 1 }))
 	for key := range runs {
-		is.True(!strings.HasPrefix(key, "ck-"))
+		is.True(!strings.HasPrefix(key, "ck-")) // no booking ran under a key issued by a node
 	}
 
 	b.kvFaults(standin.KVFaults{})
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -34,7 +34,7 @@
 	for _, n := range b.nodes {
 		u.cpu += cpuSeconds(n.cmd.Process.Pid)
 	}
-	u.control = cpuSeconds(b.ctlProcs[0].cmd.Process.Pid)
+	u.control = cpuSeconds(b.controlProcs[0].cmd.Process.Pid)
 	_ = getJSON("http://"+b.kv+"/admin/calls", "", &u.calls)
 	u.loopback = loopbackBytes()
 	u.at = time.Now()
@@ -69,7 +69,7 @@
 	slices.Sort(memory)
 	t.Logf("| %d | %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f%% | %d | %d | %s |", len(b.nodes), what, total, rate("kv"), rate("peers_in"), rate("peers_out"), rate("engines"),
 		100*(to.cpu-from.cpu)/n/s, memory[len(memory)/2], memory[len(memory)-1], strings.Join(calls, ", "))
-	for i, p := range b.ctlProcs {
+	for i, p := range b.controlProcs {
 		t.Logf("  crank-control %d: CPU %.2f%%, resident %d MB", i, 100*(to.control-from.control)/s, residentMB(p.cmd.Process.Pid))
 	}
 	t.Logf("  loopback bytes/s per node, packet headers and the measurement included: %.0f", float64(to.loopback-from.loopback)/n/s)
@@ -108,7 +108,7 @@
 		for _, node := range b.nodes {
 			node.kill()
 		}
-		for _, p := range append(b.ctlProcs, b.standins) {
+		for _, p := range append(b.controlProcs, b.standins) {
 			p.kill()
 		}
 		for _, e := range b.engines {
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -255,8 +255,8 @@
 		}
 	}
 	is.Equal(got, want)
-	b.ctlProcs[1].kill()
-	b.ctlProcs[1].launch("crank-control")
+	b.controlProcs[1].kill()
+	b.controlProcs[1].launch("crank-control")
 	b.eventually("crank-control has restarted", func() bool { return b.completeRevision() > 0 })
 	old, err := http.DefaultClient.Do(b.watchRequest(1, 0))
 	is.NoErr(err)
@@ -264,6 +264,8 @@
 	_ = old.Body.Close()
 }
 
+// completeRevision returns the revision up to which the second crank-control has all
+// changes.
 func (b *testbed) completeRevision() int64 {
 	var s control.State
 	getJSON("http://"+b.controls[1]+"/debug/state", token, &s)
@@ -324,13 +326,13 @@
 func TestPlannerFrozenPastItsLease(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 0, modelServers: 2, controls: 2, offers: vmOffers, control: ", lease: 2s, most_servers: 50"})
-	b.eventually("the planner has bought the required VMs", func() bool { return b.cloudCost().Active >= 3+3 })
+	b.eventually("the planner has bought the required VMs", func() bool { return b.cloudCost().Active >= 3+3 }) // 3 VMs run the entry nodes
 	leader := slices.IndexFunc([]int{0, 1}, func(i int) bool { return b.controlState(i).Leading })
 	oldEpoch := b.controlState(leader).Epoch
-	b.ctlProcs[leader].signal(syscall.SIGSTOP)
+	b.controlProcs[leader].signal(syscall.SIGSTOP)
 	b.eventually("the other crank-control leads", func() bool { s := b.controlState(1 - leader); return s.Leading && s.Epoch > oldEpoch })
 	b.createVia(1-leader, newEvent("rides", time.Now().Add(5*time.Second), 3))
-	b.ctlProcs[leader].signal(syscall.SIGCONT)
+	b.controlProcs[leader].signal(syscall.SIGCONT)
 	b.eventually("the event is ready or in force", func() bool {
 		p := b.eventStatus("rides").Phase
 		return p == event.Ready || p == event.InForce
@@ -365,8 +367,8 @@
 			victim = 1
 		}
 		<-time.After(time.Duration(60+i*70) * time.Millisecond) // a different step each time
-		b.ctlProcs[victim].kill()
-		b.ctlProcs[victim].launch("crank-control")
+		b.controlProcs[victim].kill()
+		b.controlProcs[victim].launch("crank-control")
 	}
 	b.eventually("the event is in force", func() bool { return b.eventStatus("rides").Phase == event.InForce })
 	b.postAdmin(b.cloud, "faults", standin.CloudFaults{})
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -24,6 +24,7 @@
 	return string(out), 0
 }
 
+// crankctl must report success, conflicts and an outage by its output and exit code.
 func TestCommandLine(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
--- a/test/end_to_end_test.go
+++ b/test/end_to_end_test.go
@@ -22,6 +22,7 @@
 
 var smallSystem = options{nodes: 3, domains: 3, engines: 3, services: 2, modelServers: 1}
 
+// Requests of all kinds must be served and a configuration change must reach all nodes.
 func TestEndToEnd(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
@@ -61,6 +62,7 @@
 	}
 }
 
+// The API must stay compatible with OpenAI's client library.
 func TestOpenAIClientLibrary(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
@@ -93,6 +95,7 @@
 	is.Equal(models.Data[0].ID, "climb")
 }
 
+// Bad input must be refused with its error code and must not run.
 func TestBadInput(t *testing.T) {
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, services: 1, modelServers: 1, entry: "limits: {body_bytes: 2000}"})
 	n := b.nodes[0]
@@ -153,6 +156,7 @@
 	})
 }
 
+// An error in the settings must be reported with the file and the reason.
 func TestWrongSettings(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct{ text, want string }{
@@ -188,6 +192,7 @@
 	is.Equal(len(got.tokens), 40)
 }
 
+// A node that stops must finish its streams and hand over its shards.
 func TestGracefulStop(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, smallSystem)
--- a/test/gateway_test.go
+++ b/test/gateway_test.go
@@ -26,6 +26,8 @@
 	return count
 }
 
+// Path, query and body must reach the server as sent; the client's API key and its
+// own Tenant header must not.
 func TestGatewayPassesRequestUnchanged(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -48,6 +50,7 @@
 	is.True(deadline <= 700 && deadline > 500)
 }
 
+// A request with a bad path, API key, ID or size must not be run.
 func TestGatewayRefusesBadInput(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -64,6 +67,7 @@
 	is.Equal(len(s.Runs()), before)
 }
 
+// A request whose body ends early must not be run.
 func TestGatewayDoesNotRunTruncatedRequest(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -80,6 +84,8 @@
 	is.Equal(runCount(s, "cut"), 0)
 }
 
+// A request that a server rejects without running it must go to another server, even
+// on an unsafe route.
 func TestGatewayRetriesUnexecutedRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -100,6 +106,7 @@
 	is.True(got.header.Get("Retry-After") != "")
 }
 
+// Servers that refuse connections must not fail a request, even without a retry budget.
 func TestGatewayPassesOverUnreachableServers(t *testing.T) {
 	b := newGatewayTestbed(t)
 	b.retries = "Bounds.RetryBudgetRatio=0\nBounds.ExtraRetries=0\n"
@@ -116,6 +123,7 @@
 	}
 }
 
+// A request of an unsafe route must not be sent again if it may have run.
 func TestGatewayDoesNotRepeatUnsafeRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -134,6 +142,7 @@
 	}
 }
 
+// A request of a safe route must be repeated at another server after a failure.
 func TestGatewayRepeatsSafeRequests(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -155,6 +164,8 @@
 	is.Equal(runCount(servers[0], "both")+runCount(servers[1], "both"), 2)
 }
 
+// At the route's timeout the client must get a response and the server's connection
+// must be closed.
 func TestGatewayTimesOutAndCancelsRequest(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -168,19 +179,22 @@
 	b.eventually("the server sees the disconnect", func() bool { return s.ClientDisconnects() == 1 })
 }
 
-const streamHeader = "a:10,b:20"
+const promptPrefix = "a:10,b:20"
 
+// No event of a stream may be lost.
 func TestGatewayPassesStreams(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
 	b.startServer("i-1")
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
-	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": promptPrefix}})
 	is.NoErr(got.err)
 	is.Equal(strings.Count(got.body, "data: piece-"), fake.StreamEvents)
 }
 
+// A truncated stream of a resumable route must continue at another server without
+// losing or repeating an event.
 func TestGatewayResumesStreamOnceInOrder(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -206,6 +220,7 @@
 	is.True(resumed > 0)
 }
 
+// A truncated stream that cannot be resumed must not look complete to the client.
 func TestGatewayAbortsTruncatedStream(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -213,11 +228,13 @@
 	n := b.startNode(b.store.Address())
 	b.waitServing(n, "p")
 	s.SetBehavior(fake.TruncatedStream)
-	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+	got := n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": promptPrefix}})
 	is.True(got.err != nil)
 	is.Equal(runCount(s, "s"), 1)
 }
 
+// A server that was seen draining must get no new requests, and a revoked API key must
+// be refused.
 func TestGatewayObeysConfigurationAndDrainingServers(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -241,6 +258,7 @@
 	})
 }
 
+// A node whose store rejects every call must get its state and all changes from a peer.
 func TestGatewayGetsChangesFromPeersWhenStoreIsBusy(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -272,6 +290,7 @@
 	is.Equal(len(b.nodes), 2)
 }
 
+// A node that stops must finish its open streams within its grace period.
 func TestGatewayStopsGracefully(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
@@ -280,7 +299,7 @@
 	b.waitServing(n, "p")
 	responses := make(chan gatewayResponse, 1)
 	go func() {
-		responses <- n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": streamHeader}})
+		responses <- n.send(gatewayRequest{method: "POST", path: "/stream/x", id: "s", body: "b", header: map[string]string{"Prompt-Prefix": promptPrefix}})
 	}()
 	time.Sleep(10 * time.Millisecond)
 	n.stop()
@@ -302,6 +321,8 @@
 	}
 }
 
+// Lost responses of the store and a change of the reporting node must not lose usage,
+// or report a window with different counts.
 func TestGatewayReportsUsageOnceDespiteLostResponses(t *testing.T) {
 	is := is.New(t)
 	b := newGatewayTestbed(t)
--- a/test/gateway_testbed_test.go
+++ b/test/gateway_testbed_test.go
@@ -19,7 +19,8 @@
 	"github.com/crankridge/crankridge/src/gateway"
 )
 
-// gatewayTestbed runs gateway nodes in the test process against a fake store and cloud.
+// gatewayTestbed is a fake store and cloud with gateway nodes, which startNode runs in
+// the test process.
 type gatewayTestbed struct {
 	t       *testing.T
 	is      *is.I
@@ -72,7 +73,7 @@
 
 // writeConfig stores the operator's configuration under a new version.
 func (b *gatewayTestbed) writeConfig() {
-	b.version += 3
+	b.version += 3 // versions need not be consecutive
 	b.config["Version"] = b.version
 	b.store.Put("op/config", b.config)
 }
@@ -100,7 +101,8 @@
 	return b.startNamedNode(fmt.Sprintf("node-%d", len(b.nodes)+1), true, storeAddress, seeds...)
 }
 
-// startNamedNode starts a node and waits until it is ready; first sets FirstStart.
+// startNamedNode starts a node and waits until it is ready. first sets FirstStart,
+// which means that no earlier process has used the retry budget.
 func (b *gatewayTestbed) startNamedNode(name string, first bool, storeAddress string, seeds ...string) *gatewayNode {
 	text := fmt.Sprintf("NodeName=%s\nZone=zone-1\nRegion=here\nFirstStart=%t\nSeedNodes=%s\n", name, first, strings.Join(seeds, ","))
 	for _, name := range []string{"Front", "Ready", "Control", "Directory"} {
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -18,7 +18,7 @@
 	"github.com/crankridge/crankridge/src/standin"
 )
 
-// The tests below assert nothing; make measure runs them and prints tables.
+// The tests below check no limits; make measure runs them and prints the results.
 
 // runLoad runs crankctl load against the addresses and returns its report.
 func (b *testbed) runLoad(addrs []string, args ...string) ctl.LoadReport {
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -106,6 +106,7 @@
 	is.True(r.duration < 10*time.Second)
 }
 
+// A customer must not get its limit once at each node.
 func TestCustomerLimitHoldsOverAllNodes(t *testing.T) {
 	is := is.New(t)
 	limited := catalog.Resource{Kind: catalog.KindCustomer, Name: "limited", Customer: &catalog.Customer{KeySHA256: catalog.HashKey("limited-key"), Weight: 1, RequestsPS: 20}}
@@ -127,7 +128,7 @@
 		total += n
 	}
 	t.Logf("%d served in %s at a limit of 20/s", total, time.Since(start).Round(time.Millisecond))
-	is.True(total >= 70 && total <= 150) // 100, and an initial burst of one second at each node
+	is.True(total >= 70 && total <= 150) // 100, and an initial burst of one second of each node's share
 }
 
 // A caller that stops reading must not block others, and can resume its response
@@ -150,6 +151,7 @@
 	is.Equal(resumed.eventIDs[0], 5991)
 }
 
+// A response must end, as a complete stream, where it reaches answer_bytes.
 func TestResponseSizeLimit(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 3, domains: 3, engines: 1, modelServers: 1, engineShape: "step_ms: 1", entry: "limits: {answer_bytes: 1024}"})
@@ -193,6 +195,7 @@
 			e.signal(syscall.SIGKILL)
 		}
 	}
+	// Nodes 1 and 4 are in fd-b.
 	b.nodes[1].signal(syscall.SIGKILL)
 	b.nodes[4].signal(syscall.SIGKILL)
 	for range n*tokens - n*20 {
--- a/test/reclaim_test.go
+++ b/test/reclaim_test.go
@@ -81,7 +81,7 @@
 }
 
 // No stream may be lost, or repeat or skip a token, when one of 4 failure domains
-// is reclaimed under load. The engines run slower than in production.
+// is reclaimed under load.
 func TestDomainReclaimedUnderStreams(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t, options{nodes: 9, domains: 4, engines: 24, services: 1, modelServers: 1, reclaimable: true,
@@ -158,7 +158,7 @@
 			took := time.Since(start)
 			t.Logf("unused by all nodes after %d ms", took.Milliseconds())
 			is.True(took < 3*time.Second)
-			if c.name == "connection lost" {
+			if c.name == "connection lost" { // the engine was killed and has no totals
 				return
 			}
 			var before, after standin.EngineTotals
--- a/test/regression_test.go
+++ b/test/regression_test.go
@@ -10,11 +10,12 @@
 	"github.com/crankridge/crankridge/platform/fake"
 )
 
-// Documented limits.
+// The documented time for a node to catch up, and the retry budget that
+// newGatewayTestbed sets.
 const (
-	catchUpTime  = 3 * time.Second // for a node to catch up after faults end
-	budgetRatio  = 0.2
-	budgetExtra  = 50.0
+	catchUpTime  = 3 * time.Second // after a fault
+	budgetRatio  = 0.2             // retries per request
+	budgetExtra  = 50.0            // further retries in each window, over all nodes
 	budgetWindow = 10 * time.Second
 )
 
@@ -30,7 +31,7 @@
 	return state.Version
 }
 
-// Stalled connections to the store must not delay a configuration change (issue 19, CONFIG).
+// Stalled connections to the store must not delay a configuration change (issue 19).
 func TestChangeAppliesInTimeAfterStoreConnectionsStall(t *testing.T) {
 	b := newGatewayTestbed(t)
 	b.duties = "" // no other calls to the store, which would detect the stalled connections
@@ -59,7 +60,7 @@
 	}
 }
 
-// Unreadable entries from other writers must not hide the configuration (issue 19, CONFIG).
+// Unreadable entries from other writers must not hide the configuration (issue 19).
 func TestUnreadableEntriesDoNotHideConfiguration(t *testing.T) {
 	b := newGatewayTestbed(t)
 	b.startServer("i-1")
@@ -105,7 +106,7 @@
 	}
 }
 
-// A node cut off from its peers must not use the whole retry budget (issue 19, BUDGET).
+// A node cut off from its peers must not use the whole retry budget (issue 19).
 func TestIsolatedNodeRetriesWithinItsShare(t *testing.T) {
 	const others, requests = 8, 40
 	b := newGatewayTestbed(t)
@@ -127,7 +128,7 @@
 	}
 }
 
-// A restarted process must not start with a fresh retry budget (issue 19, BUDGET).
+// A restarted process must not start with a fresh retry budget (issue 19).
 func TestRestartedNodeRetriesWithinOneBudget(t *testing.T) {
 	const starts, requests = 4, 30
 	b := newGatewayTestbed(t)
@@ -148,8 +149,9 @@
 	}
 }
 
-// A request must not wait for a restarted server that has lost it (issue 19).
-func TestRequestGoesOnElsewhereWhenItsServerIsBornAgain(t *testing.T) {
+// A request must not wait until its timeout for a server that has restarted and
+// lost it (issue 19).
+func TestRequestIsRetriedWhenItsServerRestarts(t *testing.T) {
 	b := newGatewayTestbed(t)
 	servers := []*fake.Server{b.startServer("i-0"), b.startServer("i-1")}
 	n := b.startNode(b.store.Address())
--- a/test/sighup_test.go
+++ b/test/sighup_test.go
@@ -20,7 +20,7 @@
 		is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 		p := &proc{t: t, name: "n", path: path, log: path + ".log"}
 		p.launch("crank-gateway")
-		time.Sleep(time.Duration(4+i) * time.Millisecond)
+		time.Sleep(time.Duration(4+i) * time.Millisecond) // a different point of the startup each time
 		p.signal(syscall.SIGHUP)
 		exited := p.waitExit(300 * time.Millisecond)
 		p.kill()
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -31,7 +31,7 @@
 	soakClients         = 8
 	soakSeconds         = 6
 	soakSeedsCI         = 1
-	soakRecoveryTimeout = 8 * time.Second        // for all nodes to serve again after the faults end
+	soakRecoveryTimeout = 8 * time.Second        // for a node to become ready, and then to serve, after the faults end
 	soakChangeDelay     = 800 * time.Millisecond // from the end of the faults to a last configuration change
 	soakRetryRatio      = 0.02                   // of the retry budget; small, so that overruns of ExtraRetries show
 	soakExtraRetries    = 20.0
@@ -327,6 +327,7 @@
 	server.SetBehavior(fake.Healthy)
 }
 
+// disruptStore injects a fault into the store for a while and compacts its history.
 func (s *soak) disruptStore() {
 	faults := []fake.Faults{{Busy: true}, {Unresponsive: true}, {WatchesStalled: true}, {DropResponses: true}}
 	s.store.SetFaults(faults[s.intN(len(faults))])
@@ -388,7 +389,7 @@
 		s.store.Put(key, []any{field})
 	case 2:
 		delete(entry, field)
-		if field == "born" { // optional, so that the entry would still be valid
+		if field == "born" { // optional: the entry is valid without it
 			entry["State"] = "unheard of"
 		}
 		s.store.Put(key, entry)
@@ -469,6 +470,8 @@
 				count++
 			}
 		}
+		// A retry may arrive long after its request was sent, so the requests of this
+		// window, of the one before or of the one halfway between may have earned it.
 		requests := s.requestsBetween(from.Add(-budgetWindow), from)
 		requests = max(requests, s.requestsBetween(from, end), s.requestsBetween(from.Add(-budgetWindow/2), end.Add(-budgetWindow/2)))
 		if allowed := soakRetryRatio*float64(requests) + soakExtraRetries; float64(count) > allowed {
--- a/test/testbed_test.go
+++ b/test/testbed_test.go
@@ -141,25 +141,25 @@
 type node struct {
 	*proc
 	name, domain              string
-	callers, peers, operators string
+	callers, peers, operators string // addresses; peers is that of peerLink, if any
 	kvLink, peerLink          *link
 	settings                  string
 }
 
 // testbed is a running system with stand-ins for its upstreams and platform.
 type testbed struct {
-	t        *testing.T
-	dir      string
-	kv       string
-	cloud    string
-	standins *proc
-	engines  []*engineProc
-	services []string
-	svcLinks []*link // from the nodes to each server of the service
-	nodes    []*node
-	controls []string
-	ctlProcs []*proc
-	ctlLinks []*link
+	t            *testing.T
+	dir          string
+	kv           string
+	cloud        string
+	standins     *proc
+	engines      []*engineProc
+	services     []string // addresses of the servers of service booking
+	svcLinks     []*link  // from the nodes to each of these servers
+	nodes        []*node
+	controls     []string // addresses of the crank-control processes
+	controlProcs []*proc
+	controlLinks []*link // from each crank-control to the key-value service
 }
 
 type engineProc struct {
@@ -314,9 +314,9 @@
 	for i := range max(o.controls, 1) {
 		addr := freeAddr(b.t)
 		kv := newLink(b.t, "kv-control", b.kv)
-		b.ctlLinks = append(b.ctlLinks, kv)
+		b.controlLinks = append(b.controlLinks, kv)
 		b.controls = append(b.controls, addr)
-		b.ctlProcs = append(b.ctlProcs, b.start(fmt.Sprintf("control-%d", i), "crank-control", fmt.Sprintf(`
+		b.controlProcs = append(b.controlProcs, b.start(fmt.Sprintf("control-%d", i), "crank-control", fmt.Sprintf(`
 node: {name: control-%d, failure_domain: fd-a}
 listen: {operators: %q}
 kv: {url: "http://%s", timeout: 1s}
