--- a/src/admit/queue.go
+++ b/src/admit/queue.go
@@ -1,7 +1,8 @@
 // Package admit implements admission control: rate limits shared by all nodes
 // and a bounded queue with priorities and weighted fair sharing. Limiter divides
-// a limit among the nodes by their demand; SharedLimiter charges the admissions
-// of all nodes to one bucket. The caller passes in the current time.
+// a limit among the nodes by their demand; SharedLimiter keeps a bucket for the
+// whole limit of each customer on every node and charges the admissions of all nodes
+// to it. The caller passes in the current time.
 package admit
 
 import (
--- a/src/admit/shared.go
+++ b/src/admit/shared.go
@@ -6,9 +6,12 @@
 	"time"
 )
 
+// Timing of a SharedLimiter. Its node learns the admissions of the other nodes either
+// from a report of each peer (SetPeers) or, in a large system, as one sum over all
+// peers (SetAggregate), which arrives later.
 const (
 	peerTimeout          = 700 * time.Millisecond // after which a silent peer is charged an even share
-	aggregateTimeout     = 2 * time.Second        // the same for the sum of all peers
+	aggregateTimeout     = 2 * time.Second        // after which the peers are charged even shares if their sum has not been received
 	aggregateDelay       = 600 * time.Millisecond // typical time until an admission at a peer is in the sum of all peers
 	maxRefillInterval    = 2 * time.Second        // longest time that one refill accounts for
 	exchangeDelay        = 400 * time.Millisecond // typical time until an admission at a peer is in that peer's report
@@ -28,18 +31,18 @@
 // Fractions of the tolerance, the limits and the bucket depth.
 const (
 	reportThreshold        = 0.01      // part of one second's rate after which a node reports early
-	localCapBelow          = 0.5       // part of the depth below which a node is held to its local cap, where the peers are known as one sum
+	localCapBelow          = 0.5       // part of the depth below which a node is held to its local cap (with SetAggregate)
 	localDepthFraction     = 0.3       // depth of the bucket of the local cap, as part of localCap(depth)
 	burstDepthFraction     = 0.5       // part of the burst in the depth; the rest is in the fill rate
 	slackDepthFraction     = 0.25      // part of the slack in the depth
 	initialFillFraction    = 0.3       // initial level as part of the depth: earlier admissions are unknown
 	toleranceUsed          = 0.4       // used part of overage and slack
-	toleranceUsedAggregate = 0.15      // the same where the peers are known as one sum, which arrives later
+	toleranceUsedAggregate = 0.15      // the same with SetAggregate
 	priorityReserve        = 0.1       // part of the depth that each step to a lower priority must leave
 	maxPriorityReserve     = 0.45      // bound on the reserve, as part of the depth
 	smallCostFraction      = 1.0 / 250 // part of the depth up to which a request counts as small
 	smallOverdraftFraction = 0.25      // part of the depth that small requests may overdraw
-	maxLocalShares         = 2.0       // even shares a node may use where the peers are known as one sum
+	maxLocalShares         = 2.0       // local cap, in even shares of the limit (with SetAggregate)
 )
 
 // bucketSize returns the fill rate and depth of a bucket, such that any window
@@ -63,7 +66,7 @@
 	admitted   map[string]float64     // running totals of this node by customer
 	peers      map[string]*peerTotals // receivedAt is zero until the first report
 	nodes      int
-	aggregated bool // the peers are known as one sum
+	aggregated bool // set by SetAggregate, cleared by SetPeers
 	tolerance  Tolerance
 }
 
@@ -229,8 +232,8 @@
 }
 
 // unreportedRemote estimates the peers' admissions that have not been reported
-// yet, from this node's recent admissions or, where the peers are known as one
-// sum, from the recent growth of the sum.
+// yet, from this node's recent admissions or, with SetAggregate, from the recent
+// growth of the sum.
 func (l *SharedLimiter) unreportedRemote(bucket *sharedBucket) float64 {
 	if l.aggregated {
 		// With many nodes, the admissions of one are too small a sample.
--- a/src/catalog/snapshot.go
+++ b/src/catalog/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/crankridge/crankridge/src/ports"
 )
 
-// Snapshot is an immutable view of the resources in force.
+// Snapshot is an immutable view of all valid resources, by kind and name.
 type Snapshot struct {
 	Events    map[string]Resource
 	Models    map[string]Resource
--- a/src/claim/attempts.go
+++ b/src/claim/attempts.go
@@ -40,8 +40,8 @@
 	a.states[id] = attemptState{Claiming, now}
 }
 
-// Send marks the attempt as sent. If it returns false, the attempt was released
-// and the caller must not send it.
+// Send marks the attempt as sent. It returns false if the attempt is unknown or
+// not in state Claiming; the caller must not send it then.
 func (a *Attempts) Send(id string, now time.Time) bool {
 	return a.transition(id, now, Sent, Claiming)
 }
@@ -85,9 +85,10 @@
 	return false
 }
 
-// Yield returns the state of an attempt to a rival for the same key. An attempt
-// in state Claiming is released first if the rival has the smaller ID, so that
-// exactly one of two rivals yields.
+// Yield returns the state of an attempt to a rival attempt for the same key. If
+// the attempt is in state Claiming and the rival has the smaller ID, it is released
+// first, so that exactly one of two attempts yields. With an empty rival, Yield
+// only returns the state.
 func (a *Attempts) Yield(id, rival string, now time.Time) State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/src/claim/main_test.go
+++ b/src/claim/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain sets a fixed seed, so that results are reproducible, and enough runs
-// to find known faults.
+// TestMain sets the default seed of the property tests, so that results are
+// reproducible, and their default number of runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
--- a/src/claim/shardmap.go
+++ b/src/claim/shardmap.go
@@ -54,7 +54,10 @@
 	// from which the records are copied.
 	Source      []Node `json:"s,omitempty"`
 	SourceEpoch int64  `json:"p,omitempty"`
-	// RecordsLostMS is the Unix time, in ms, at which the records were lost, or 0.
+	// RecordsLostMS is the Unix time, in ms, at which the shard last lost its claim
+	// records, because too few keepers of Source were left to read them; 0 if never.
+	// Until the claim window after it has passed, requests that are not repeatable
+	// are refused unless marked as the first use of their key.
 	RecordsLostMS int64 `json:"f,omitempty"`
 }
 
@@ -178,9 +181,9 @@
 	return left < ReadQuorum(len(s.Source))
 }
 
-// selectKeepers selects the keepers of a shard: its current keepers that are
-// live, then other nodes by rendezvous hashing, in distinct failure domains if
-// possible.
+// selectKeepers selects the keepers of a shard: its current keepers that are live,
+// one per failure domain, then other nodes by rendezvous hashing. A failure domain
+// gets a second keeper, even a current one, only if there are too few domains.
 func selectKeepers(shard int, current []Node, f Fleet) []Node {
 	var out []Node
 	used := map[string]bool{}
--- a/src/cluster/hub.go
+++ b/src/cluster/hub.go
@@ -7,6 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// A record holds a node's addresses, state and usage, the cost it has admitted for
+// each customer, and its load on each server.
+//
 // In a small system, every node exchanges records with every other node. In a
 // large one, a node sends its record to the hub of its failure domain and receives
 // a summary of the other nodes; hubs exchange the records that they receive. A
@@ -15,7 +18,7 @@
 const (
 	maxFlatNodes     = 16                     // nodes of the largest system without hubs
 	nodeInterval     = 500 * time.Millisecond // between the exchange rounds of a node that is not a hub
-	minRoundInterval = 60 * time.Millisecond  // between the start of a round and a triggered one
+	minRoundInterval = 60 * time.Millisecond  // from the start of a round until a triggered one may start
 	hubTTL           = 3 * time.Second        // a node acts as a hub for this long after a summary was requested
 	avoidPeriod      = 3 * time.Second        // a node is not selected as a hub for this long after a failed call
 )
@@ -27,7 +30,8 @@
 	Peers         string // address for other nodes
 }
 
-// target is a peer to contact and the scope to request from it.
+// target is a peer to exchange with. scope tells which records it is asked for: all
+// that this node lacks, those it received from their own nodes, or a summary.
 type target struct {
 	node    string // empty if only the address is known
 	address string
--- a/src/duty/term.go
+++ b/src/duty/term.go
@@ -32,7 +32,11 @@
 
 // Store is the part of the key-value service that duties use.
 type Store interface {
+	// Get reads a key; ok is false if it is not stored. at is the revision of the store.
 	Get(ctx context.Context, key string) (it ports.Item, ok bool, at int64, err error)
+	// PutIf stores value, attached to lease unless it is 0, if the key is still at
+	// revision rev (0: not stored). The keys in remove are deleted in the same
+	// transaction.
 	PutIf(ctx context.Context, key string, value []byte, rev, lease int64, remove ...string) (ports.SwapResult, error)
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, id int64) error
@@ -84,7 +88,10 @@
 // Interval returns the time between calls of Step.
 func (l *Lease) Interval() time.Duration { return l.ttl / renewalsPerLease }
 
-// Step renews the lease, or tries to acquire it if taken is false.
+// Step renews the lease if this node holds it. Otherwise it determines the outcome
+// of an earlier write whose response was lost or, if there is none, tries to acquire
+// the lease. If taken is true, it does not try: the lease is held, or this node must
+// not acquire it now.
 func (l *Lease) Step(ctx context.Context, taken bool) {
 	l.mu.Lock()
 	state, closed := l.state, l.closed
--- a/src/duty/usage.go
+++ b/src/duty/usage.go
@@ -10,14 +10,15 @@
 	"k8s.io/klog/v2"
 )
 
-// Timing of usage reports. The settle delays run from the end of a window until it
-// is reported.
+// Timing of usage reports. A window is first reported a settle delay after its end,
+// which lets the nodes' counts arrive. A failed report is retried until retryPeriod
+// after it is due (UsageReporter.Late). A seal is the stored counts of a window.
 const (
-	minSettleDelay      = 700 * time.Millisecond  // used when all nodes have been heard from recently
-	maxSettleDelay      = 2500 * time.Millisecond // allows for nodes that are silent
-	retryPeriod         = 4 * time.Second         // a report is retried for this long after it is due
-	reportedWindowsKept = 8                       // windows for which a reported one is remembered after its retry period
-	sealRetention       = 6                       // number of windows after which a seal is deleted
+	minSettleDelay      = 700 * time.Millisecond  // if no node is silent
+	maxSettleDelay      = 2500 * time.Millisecond // if a node is silent
+	retryPeriod         = 4 * time.Second         // after a report is due
+	reportedWindowsKept = 8                       // UsageReporter.reported keeps a window for this many windows after its retry period
+	sealRetention       = 6                       // number of windows after which the seal of a window is deleted
 )
 
 // Ledger holds the number of executed requests counted by each node, by window and
@@ -79,8 +80,8 @@
 }
 
 // UsageReporter reports the usage of each window. Before the first attempt it
-// seals the counts in the store, so that retries and later holders of the lease
-// report the same counts.
+// stores the counts as the window's seal, so that retries and later holders of the
+// lease report the same counts.
 type UsageReporter struct {
 	Ledger *Ledger
 	Lease  *Lease
@@ -88,7 +89,7 @@
 	Sender UsageSender
 	Prefix string           // of the keys of seals
 	Window time.Duration    // length of a window
-	Late   time.Duration    // delay from the end of a window until its report is due
+	Late   time.Duration    // time from the end of a window until its report is due
 	Clock  func() time.Time // agreed time of the nodes
 	// AllHeard reports whether no node is currently silent. Windows are then
 	// sealed earlier, which loses fewer counts when many nodes are killed.
--- a/src/entry/exchange.go
+++ b/src/entry/exchange.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	demandSampleSize    = 8
-	maxLeavingUpstreams = 32
-	notifyFanOut        = 3
-	notifyBatchWindow   = 20 * time.Millisecond
-	exchangeTimeout     = 2 * time.Second
+	demandSampleSize    = 8                     // demands of other nodes in a digest
+	maxLeavingUpstreams = 32                    // in a digest
+	notifyFanOut        = 3                     // peers to which a batch of notices is sent
+	notifyBatchWindow   = 20 * time.Millisecond // time for which notices are collected into a batch
+	exchangeTimeout     = 2 * time.Second       // of a call to exchange digests or send notices
 )
 
-// exchangeLoop periodically exchanges digests with a random peer.
+// exchangeLoop periodically exchanges digests with a random peer and fetches the
+// changes that this node's view lacks.
 func (n *Node) exchangeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if addr := n.pickPeer(); addr != "" {
@@ -107,6 +108,8 @@
 	return names
 }
 
+// digest returns a summary of this node's state: the revision of its view, its open
+// requests, customer demands that it measured or received, and leaving upstreams.
 func (n *Node) digest() *peer.Digest {
 	now := time.Now()
 	n.limiter.SetLive(nodeNames(n.fleet.Nodes()))
@@ -263,6 +266,7 @@
 
 var _ peer.Peer = (*Node)(nil)
 
+// suspectedNodes returns the names of the nodes to which a call failed recently.
 func suspectedNodes(f *member.Fleet) []string {
 	var names []string
 	for _, node := range f.Nodes() {
--- a/src/entry/node.go
+++ b/src/entry/node.go
@@ -28,7 +28,7 @@
 
 const (
 	engineDialTimeout   = time.Second
-	engineTimeout       = 2 * time.Second
+	engineTimeout       = 2 * time.Second // of a control call; does not limit generation requests
 	sweepInterval       = time.Second
 	reclaimPollInterval = time.Second
 	noticeQueueSize     = 1024
--- a/src/entry/operator.go
+++ b/src/entry/operator.go
@@ -18,10 +18,10 @@
 type State struct {
 	Node             member.Node         `json:"node"`
 	UptimeS          int64               `json:"uptime_s"`
-	Phase            int                 `json:"phase"` // 0 serving, 1 leaving, 2 refusing
-	CompleteRevision int64               `json:"complete_revision"`
-	RevisionSource   string              `json:"complete_from"` // "kv" or "peer"
-	Versions         map[string]int64    `json:"versions"`      // revisions by key
+	Phase            int                 `json:"phase"`             // 0 serving, 1 leaving, 2 refusing
+	CompleteRevision int64               `json:"complete_revision"` // store revision up to which the view has every change
+	RevisionSource   string              `json:"complete_from"`     // source that last advanced the view: "kv" or "peer"
+	Versions         map[string]int64    `json:"versions"`          // revisions by key
 	Nodes            []member.Node       `json:"nodes"`
 	Suspects         []string            `json:"suspects"`
 	Upstreams        []upstream.Dump     `json:"upstreams"`
--- a/src/gateway/register.go
+++ b/src/gateway/register.go
@@ -24,7 +24,7 @@
 
 // nodeEntry is stored by each node so that other nodes can find it.
 type nodeEntry struct {
-	Peers         string `json:"peers"`
+	Peers         string `json:"peers"` // address for other nodes
 	FailureDomain string `json:"failure_domain"`
 	Lease         int64  `json:"lease"` // lease that the entry is bound to; identifies its writer
 }
@@ -38,7 +38,7 @@
 }
 
 // reconcile grants or renews the lease, writes the entry if needed, and returns
-// the delay until the next call.
+// the delay until the next call. It does not return errors; the next call tries again.
 func (r *registration) reconcile(ctx context.Context) time.Duration {
 	var err error
 	switch {
--- a/src/member/node.go
+++ b/src/member/node.go
@@ -46,11 +46,11 @@
 }
 
 const (
-	// heartbeatTTL is how long a node without a record is kept after its last
+	// messageTTL is how long a node without a record is kept after its last
 	// message, and how long another node's suspicion of a node is valid.
-	heartbeatTTL = 10 * time.Second
-	// suspectTTL is how long new work avoids a node after a failed call.
-	suspectTTL = 3 * time.Second
+	messageTTL = 10 * time.Second
+	// avoidPeriod is how long a node is avoided for new work after a failed call to it.
+	avoidPeriod = 3 * time.Second
 )
 
 // Fleet is one node's view of all nodes. The maps are keyed by node name unless
@@ -105,14 +105,14 @@
 }
 
 // Nodes lists the live nodes, sorted by name: those with a record, and those whose
-// record is gone but that have sent a message within heartbeatTTL or are this node.
+// record is gone but that have sent a message within messageTTL or are this node.
 // Nodes on terminated VMs are left out.
 func (f *Fleet) Nodes() []Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := maps.Clone(f.records)
 	for name, n := range f.lapsed {
-		if f.now().Sub(f.heard[name]) < heartbeatTTL || name == f.self {
+		if f.now().Sub(f.heard[name]) < messageTTL || name == f.self {
 			all[name] = n
 		} else {
 			delete(f.lapsed, name)
@@ -137,7 +137,7 @@
 	return Node{}, false
 }
 
-// Heard records a message from a node and the load that it reported.
+// RecordMessage records a message from a node and the load that it reported.
 func (f *Fleet) RecordMessage(name string, load int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,17 +176,17 @@
 }
 
 // RecordPeerSuspicion records that another node suspects the node. It reports
-// whether no such report has been received within heartbeatTTL.
+// whether no such report has been received within messageTTL.
 func (f *Fleet) RecordPeerSuspicion(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, known := f.peerSuspicions[name]
 	f.peerSuspicions[name] = f.now()
-	return !known || f.now().Sub(at) > heartbeatTTL
+	return !known || f.now().Sub(at) > messageTTL
 }
 
 // SuspectedByAny reports whether calls to the node are failing or another node
-// reported it as suspect within heartbeatTTL.
+// reported it as suspect within messageTTL.
 func (f *Fleet) SuspectedByAny(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,16 +194,16 @@
 		return true
 	}
 	at, known := f.peerSuspicions[name]
-	return known && f.now().Sub(at) < heartbeatTTL
+	return known && f.now().Sub(at) < messageTTL
 }
 
-// RecentlyFailed reports whether a call to the node failed within suspectTTL. It
+// RecentlyFailed reports whether a call to the node failed within avoidPeriod. It
 // is a routing hint and must not decide who may run a request.
 func (f *Fleet) RecentlyFailed(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ok := f.lastFailure[name]
-	return ok && f.now().Sub(at) < suspectTTL
+	return ok && f.now().Sub(at) < avoidPeriod
 }
 
 // FailingFor returns the time from the first to the last failed call since a call
--- a/src/request/budget.go
+++ b/src/request/budget.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Budget limits retries to a fraction of the requests, so that retries do not
-// overload failing upstreams.
+// Budget limits the retries of one node to a fraction of its requests, so that
+// retries do not overload failing upstreams. Unused retries accumulate up to a bound.
+// WindowBudget limits the retries of all nodes together.
 type Budget struct {
 	mu        sync.Mutex
 	fraction  float64
--- a/src/request/window.go
+++ b/src/request/window.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	ratioUsed   = 0.8 // part of the ratio that a node uses; a restarted process uses the rest
-	extraUsed   = 0.6 // part of a node's share of extra that it uses; a restarted process uses the rest
-	startupUsed = 0.9 // part of these rests that a restarted process uses in its first window
+	ratioUsed   = 0.8 // part of the ratio that a node uses; the remainder is for a restarted process
+	extraUsed   = 0.6 // part of a node's share of extra that it uses; the remainder is for a restarted process
+	startupUsed = 0.9 // part of these two remainders that a restarted process uses in its first window
 	windowSlots = 20  // per window; one more is kept, as the oldest is partly in the window
 )
 
-// WindowBudget limits retries over all nodes to a ratio of the requests in a
-// sliding window, plus a fixed number. Each node uses the ratio of its own
-// requests and an even share of the fixed number.
+// WindowBudget limits the retries of each service over all nodes, in a sliding
+// window, to a ratio of the requests plus a fixed number. Each node uses the ratio
+// of its own requests and an even share of the fixed number. Budget, in contrast,
+// limits the retries of one node, without a window.
 type WindowBudget struct {
 	mu           sync.Mutex
 	ratio        float64
--- a/src/telemetry/metrics.go
+++ b/src/telemetry/metrics.go
@@ -26,7 +26,7 @@
 	planner       metric.Int64Counter
 }
 
-// NewMetrics returns the instruments and their Prometheus endpoint.
+// NewMetrics creates the instruments of the named process.
 func NewMetrics(process string) (*Metrics, error) {
 	inst, err := newInstruments(process, "crankridge_")
 	if err != nil {
@@ -72,7 +72,7 @@
 	m.tokenInterval.Record(context.Background(), d.Seconds())
 }
 
-// Recomputed counts the tokens carried over when a stream was moved, and those
+// MovedTokens counts the tokens carried over when a stream was moved, and those
 // among them that had to be recomputed.
 func (m *Metrics) MovedTokens(cause string, carried, recomputedTokens int) {
 	m.carried.Add(context.Background(), int64(carried), attrs("cause", cause))
