--- a/src/caller/call.go
+++ b/src/caller/call.go
@@ -74,7 +74,7 @@
 	Outcome string `json:"outcome,omitempty"`
 	Status  int    `json:"status,omitempty"`
 	Tokens  int    `json:"tokens,omitempty"`
-	Node    string `json:"node,omitempty"`
+	Node    string `json:"node,omitempty"` // node that coordinates the request, if known
 }
 
 // serveRequestStatus returns the state of a request of this customer.
--- a/src/capacity/plan.go
+++ b/src/capacity/plan.go
@@ -40,8 +40,9 @@
 	return out
 }
 
-// InferredNeed estimates the need from the servers that are running. At the
-// first start of the system they include no spot headroom.
+// InferredNeed estimates the need from the servers that are running. They include
+// the spot headroom, which Plan adds again, except at the first start of the
+// system. Dividing by it keeps restarts from ordering more and more servers.
 func InferredNeed(servers []traffic.Upstream, firstStart bool) int {
 	serving := 0
 	for _, s := range servers {
@@ -65,7 +66,8 @@
 
 // Plan returns the orders for a service: spot servers spread evenly over the
 // failure domains, and on-demand servers within the remaining limits. The
-// cheapest domains come first.
+// cheapest domains come first. The need is raised to scaling.Min servers per
+// domain, or 1 per domain if Min is 0, and at least two of them are on-demand.
 func Plan(service string, scaling traffic.Scaling, need Need, supply map[string]Supply) []duty.Order {
 	domains := domainsByPrice(scaling)
 	if len(domains) == 0 {
--- a/src/control/planner.go
+++ b/src/control/planner.go
@@ -107,7 +107,7 @@
 	in := plan.Input{
 		Catalog: snap, VMs: vms, Offers: p.offers, Engines: p.respondingEngines(), Intents: intents, Refused: p.refusedAt, Now: time.Now(),
 		Params: plan.Params{
-			Prefix: p.cfg.Planner.VMPrefix, MaxVMs: p.cfg.Planner.MaxServers, WeightsBytesPerSecond: p.cfg.Planner.WeightsRate, BootTime: p.cfg.Planner.BootTime,
+			Prefix: p.cfg.Planner.VMPrefix, MaxVMs: p.cfg.Planner.MaxVMs, WeightsBytesPerSecond: p.cfg.Planner.WeightsRate, BootTime: p.cfg.Planner.BootTime,
 			Margin: p.cfg.Planner.Margin, SpreadDomains: p.cfg.Planner.Spread, OnDemand: p.cfg.Planner.OnDemandOnly,
 		},
 	}
@@ -227,6 +227,8 @@
 	return nil
 }
 
+// buy buys the VM of an intent. planned is the list of intents that was stored
+// before the first purchase of the round.
 func (p *planner) buy(ctx context.Context, epoch int64, i plan.Intent, planned []plan.Intent) error {
 	if err := p.checkLease(epoch); err != nil {
 		return err
--- a/src/control/leader_lease.go
+++ b/src/control/planner_lease.go
@@ -17,9 +17,10 @@
 const plannerLeaseKey = view.Prefix + "planner"
 
 const (
-	// safeTTLFraction is the part of the TTL, counted from before the last
-	// renewal, during which the holder may start calls. The rest is a margin for
-	// calls still in flight and for a holder that is paused after its check.
+	// safeTTLFraction is the part of the TTL, counted from the start of the last
+	// successful renewal, during which the holder may start calls. The rest is a
+	// margin for calls still in flight and for a holder that is paused after its
+	// check.
 	safeTTLFraction = 0.6
 	renewalsPerTTL  = 4
 )
--- a/src/ctl/ctl.go
+++ b/src/ctl/ctl.go
@@ -1,5 +1,5 @@
 // Package ctl implements crankctl, the command line tool for operators. It also
-// sends single requests and generates load as a customer.
+// sends single requests and generates load as a caller.
 package ctl
 
 import (
--- a/src/ctl/inspect.go
+++ b/src/ctl/inspect.go
@@ -234,7 +234,7 @@
 
 type endpointsCmd struct{}
 
-// Run shows the addresses in the order in which the customer should use them.
+// Run shows the addresses in the order in which the caller should use them.
 func (endpointsCmd) Run(g *globals) error {
 	e, err := g.endpoints()
 	if err != nil {
--- a/src/ctl/load.go
+++ b/src/ctl/load.go
@@ -40,17 +40,18 @@
 	JSON       bool          `help:"Print JSON instead of a table."`
 }
 
-// LoadReport is the result of a load run. Latencies are in ms and start at the
-// scheduled send time, so that slow responses are not hidden by coordinated omission.
+// LoadReport is the result of a load run. Latencies are in ms. Those of first tokens
+// and refusals start at the scheduled send time, so that slow responses are not
+// hidden by coordinated omission.
 type LoadReport struct {
 	Sent          int            `json:"sent"`
 	Completed     int            `json:"completed"`
 	Refused       int            `json:"refused"`
-	Broken        int            `json:"broken"`
+	Broken        int            `json:"broken"` // ended with neither a complete answer nor an error code
 	FirstP50      float64        `json:"first_token_p50_ms"`
 	FirstP95      float64        `json:"first_token_p95_ms"`
 	FirstP99      float64        `json:"first_token_p99_ms"`
-	BetweenP50    float64        `json:"between_p50_ms"`
+	BetweenP50    float64        `json:"between_p50_ms"` // interval from token to token
 	BetweenP95    float64        `json:"between_p95_ms"`
 	RefusalP99    float64        `json:"refusal_p99_ms"`
 	Within        float64        `json:"within_target"` // fraction of requests whose TTFT and p95 token interval met the targets
--- a/src/engine/client.go
+++ b/src/engine/client.go
@@ -23,7 +23,7 @@
 var (
 	ErrConnect = errors.New("cannot connect to engine")    // nothing was sent
 	ErrRefused = errors.New("engine refused the request")  // the request did not start
-	ErrBroken  = errors.New("engine stream interrupted")   // may be resumed, or continued on another engine
+	ErrBroken  = errors.New("engine stream interrupted")   // stream or control call failed after connecting, or answer 500; a stream may be resumed, or continued on another engine
 	ErrInvalid = errors.New("engine rejected the request") // retrying does not help
 	ErrUnknown = errors.New("engine does not know the stream or model")
 	ErrFenced  = errors.New("order has a stale epoch") // another planner holds the lease
@@ -45,7 +45,7 @@
 
 // Client calls the API of engines. One client serves all engines.
 type Client struct {
-	// Control counts the bytes of control calls: reports and orders.
+	// Control counts the bytes of control calls: state reads, orders and cancels.
 	Control       telemetry.Traffic
 	streamClient  *http.Client
 	controlClient *http.Client
@@ -66,15 +66,17 @@
 	return c
 }
 
-// Meta is the engine's state as reported in the headers of an answer.
+// Meta is the engine's state as reported in the status code and the headers of an
+// answer.
 type Meta struct {
 	Started   bool // the engine accepted the request
 	Load      *Load
 	LeavingMS int64 // deadline in Unix ms; 0 if the engine is not leaving
 }
 
-// Open starts a stream. onMeta is called once, before the first token; onToken
-// is called for every token. Open returns nil if the stream ended normally.
+// Open starts a stream. onMeta is called once the headers of the answer are
+// received, also if the answer is an error; onToken is called for every token. Open
+// returns nil if the stream ended normally.
 func (c *Client) Open(ctx context.Context, addr, id string, chat bool, body []byte, onMeta func(Meta), onToken func(Token) error) error {
 	path := "/v1/completions"
 	if chat {
--- a/src/engine/wire.go
+++ b/src/engine/wire.go
@@ -1,5 +1,6 @@
 // Package engine is a client of model engines. Their API is the OpenAI API with
-// the extensions declared here; answers carry an ORCA load report in a header.
+// the extensions declared here; answers carry an ORCA (Open Request Cost
+// Aggregation) load report in a header.
 package engine
 
 import (
@@ -47,7 +48,8 @@
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// Load is the ORCA load report of an answer.
+// Load is the ORCA load report of an answer. Units are those of the same fields of
+// State.
 type Load struct {
 	Named struct {
 		AtMS         float64 `json:"at_ms"`
--- a/src/openai/request.go
+++ b/src/openai/request.go
@@ -103,7 +103,8 @@
 	return b.String(), true
 }
 
-// PromptText returns the prompt as one string, for comparing prefixes.
+// PromptText returns the prompt as one string, for comparing prefixes and for
+// estimating its length.
 func (r *Request) PromptText() string {
 	if !r.Chat {
 		return r.Prompt
--- a/src/plan/plan.go
+++ b/src/plan/plan.go
@@ -89,7 +89,7 @@
 	Model      string         `json:"model"`
 	Servers    int            `json:"servers"` // required, with SpreadDomains even if any one failure domain is lost
 	Priority   int            `json:"priority"`
-	CostWeight float64        `json:"cost_weight"`       // see catalog.Event.CostWeight
+	CostWeight float64        `json:"cost_weight"`       // 0 to 1: the expected cost of losing a VM counts fully at 0 and not at all at 1
 	Ready      map[string]int `json:"ready"`             // servers with the model loaded, by failure domain
 	Pending    map[string]int `json:"coming"`            // servers booting or loading, by failure domain
 	Refused    []string       `json:"refused,omitempty"` // refused offers, as text for operators
@@ -114,7 +114,8 @@
 	bytes := 0.0
 	for _, m := range ev.Models {
 		if r, ok := models[m.Name]; ok {
-			// One server more than needed is loaded, and all servers load from one store.
+			// All servers load from one store. One extra server per model is assumed
+			// for SpreadDomains, which may need more.
 			bytes += float64(r.Model.Bytes) * float64(m.Servers+1)
 		}
 	}
--- a/src/plan/plan_test.go
+++ b/src/plan/plan_test.go
@@ -99,6 +99,8 @@
 		if remaining := ServersAfterDomainLoss(r.Needs["m"].Ready, true); remaining < servers {
 			t.Fatalf("%d of %d servers remain", remaining, servers)
 		}
+		// Without one domain, (domains-1)/domains of the servers remain, so this
+		// many, rounded up, are enough.
 		ideal := (servers*domains + domains - 2) / (domains - 1)
 		if len(in.VMs) > ideal+1 {
 			t.Fatalf("%d servers, %d are enough", len(in.VMs), ideal)
@@ -143,6 +145,7 @@
 		in.Catalog = snapshot(model("a", in.Catalog.Models["a"].Model.Servers), model("b", rapid.IntRange(1, 6).Draw(t, "b")))
 		for _, o := range in.Offers {
 			if rapid.Bool().Draw(t, "refused") {
+				// In the future, so that refusalBackoff does not end during the test.
 				in.Refused[OfferKeyOf(o)] = in.Now.Add(time.Hour)
 			}
 		}
@@ -172,6 +175,7 @@
 	in := input(2, model("m", 4))
 	for _, o := range in.Offers {
 		if o.FailureDomain == "d1" {
+			// In the future, so that refusalBackoff does not end during the test.
 			in.Refused[OfferKeyOf(o)] = in.Now.Add(time.Hour)
 		}
 	}
--- a/src/serve/coordinator.go
+++ b/src/serve/coordinator.go
@@ -36,7 +36,7 @@
 	FirstUse    bool   // the key was issued for this request, or the caller marked it as its first try
 	KeyProvided bool   // the key is the caller's, not issued
 	Repeatable  bool
-	Digest      []byte
+	Digest      []byte // hash of the request, by which the reuse of its key for another one is detected
 	Deadline    time.Time
 	Completion  *openai.Request // exactly one of Completion and Call is set
 	Call        *Call
@@ -75,7 +75,7 @@
 	decisions   *telemetry.Journal
 
 	mu         sync.Mutex
-	flights    map[string]*request.Flight
+	flights    map[string]*request.Flight // by full key; most ended flights stay until Sweep drops them
 	inProgress atomic.Int64
 	baseCtx    context.Context
 	cancelBase context.CancelFunc
@@ -197,6 +197,8 @@
 
 func (c *Coordinator) execute(ctx context.Context, f *request.Flight, req Request) request.Answer {
 	if req.FirstUse && !req.KeyProvided && req.Repeatable {
+		// Needs no claim: no other attempt can hold a key that was issued here,
+		// and a repeatable request may run twice.
 		return c.send(ctx, f, req, nil)
 	}
 	answer := yieldedAnswer()
@@ -264,8 +266,8 @@
 		c.Attempts.Withdraw(f.Attempt, c.Now())
 	}
 	if c.Attempts.Released(f.Attempt) {
-		// This also applies if another attempt holds the key: the answer here
-		// is not the outcome of the request.
+		// The request did not run under this attempt. If another attempt holds the key,
+		// that attempt's answer is the outcome of the request, not the one here.
 		if f.Claimed {
 			c.broadcastSettle(f, &peer.SettleRequest{Released: true})
 		}
@@ -281,6 +283,8 @@
 		return
 	}
 	if !req.KeyProvided && req.Repeatable {
+		// No other attempt uses a key that was issued here, and a repeatable
+		// request may run again if its answer is lost.
 		return
 	}
 	stored := answer
--- a/src/serve/queues.go
+++ b/src/serve/queues.go
@@ -18,7 +18,7 @@
 const (
 	dispatchInterval   = 10 * time.Millisecond
 	holdTimeWeight     = 0.05 // weight of a new sample in the moving average
-	initialHoldSeconds = 2.0  // until the first sample
+	initialHoldSeconds = 2.0  // start value of the moving average
 	minRetryAfter      = 500 * time.Millisecond
 	noEngineRetryAfter = 5 * time.Second
 	bytesPerToken      = 5.0 // estimate for prompts
@@ -36,7 +36,8 @@
 type modelQueue struct {
 	queue       *admit.Queue
 	holdSeconds float64 // moving average of the time a request holds its slot
-	// preemptible are this node's streams that may be preempted for an event.
+	// preemptible are this node's repeatable streams of the model, which may be
+	// preempted for an event.
 	preemptible map[*completionRun]bool
 }
 
@@ -192,7 +193,8 @@
 	return false
 }
 
-// hasFreeSlot allows Settings.Routing.Overshoot requests per slot.
+// hasFreeSlot reports whether the engine has fewer than
+// Settings.Routing.Overshoot requests per slot.
 func (qs *modelQueues) hasFreeSlot(c upstream.Candidate) bool {
 	return c.Busy < c.Slots*qs.coord.Settings.Routing.Overshoot
 }
@@ -315,7 +317,8 @@
 	qs.notify()
 }
 
-// candidates returns the engines of the model in this node's subset.
+// candidates returns the engines of the model that this node uses: at
+// most Settings.Routing.Subset of them, chosen by route.Subset, or all if it is 0.
 func (c *Coordinator) candidates(model string, blocks []uint64) []upstream.Candidate {
 	cands := c.Registry.Candidates(model, blocks)
 	size := c.Settings.Routing.Subset
--- a/src/serve/report.go
+++ b/src/serve/report.go
@@ -16,6 +16,8 @@
 // It is also the maximum time between two checks of which polls are due.
 const queuedReportInterval = 300 * time.Millisecond
 
+// newReadResponse returns up to maxReadTokens of the tokens that follow the
+// position after. The answer is included only if no token is left out.
 func newReadResponse(after int64, tokens []string, answer *request.Answer) *peer.ReadResponse {
 	out := &peer.ReadResponse{Found: true}
 	truncated := len(tokens) > maxReadTokens
--- a/src/settings/control.go
+++ b/src/settings/control.go
@@ -21,16 +21,17 @@
 type Planner struct {
 	Disabled      bool          `yaml:"disabled"`
 	LeaseTTL      time.Duration `yaml:"lease"`
-	Round         time.Duration `yaml:"round"` // interval between planning rounds
-	WeightsRate   float64       `yaml:"weights_bytes_per_second"`
-	Margin        time.Duration `yaml:"margin"`                 // added to the estimated time to boot a VM and load a model
-	BootTime      time.Duration `yaml:"boot"`                   // estimated boot time of a VM
-	Recheck       time.Duration `yaml:"recheck"`                // interval between state reads of an unchanged engine
-	KVTransferTPS float64       `yaml:"move_tokens_per_second"` // transfer rate of KV caches between engines
-	MaxServers    int           `yaml:"most_servers"`           // limit of bought VMs
+	Round         time.Duration `yaml:"round"`                    // interval between planning rounds
+	WeightsRate   float64       `yaml:"weights_bytes_per_second"` // rate at which the store of the weights serves all engines together
+	Margin        time.Duration `yaml:"margin"`                   // added to the estimated time to boot a VM and load a model
+	BootTime      time.Duration `yaml:"boot"`                     // estimated boot time of a VM
+	Recheck       time.Duration `yaml:"recheck"`                  // interval between state reads of an unchanged engine
+	KVTransferTPS float64       `yaml:"move_tokens_per_second"`   // transfer rate of KV caches between engines
+	MaxVMs        int           `yaml:"most_servers"`             // limit of bought VMs
 	VMPrefix      string        `yaml:"vm_prefix"`
-	// Spread makes the planner spread servers over failure domains. It is disabled
-	// only for measurements.
+	// Spread makes the planner run enough servers of each model that its need is
+	// met even if any one failure domain is lost. It is disabled only for
+	// measurements.
 	Spread       bool `yaml:"spread"`
 	OnDemandOnly bool `yaml:"on_demand_only"`
 }
@@ -41,7 +42,7 @@
 		KV:    Service{Timeout: 2 * time.Second},
 		Cloud: Service{Timeout: 2 * time.Second},
 		Planner: Planner{LeaseTTL: 10 * time.Second, Round: time.Second, WeightsRate: 1e9, Margin: 30 * time.Second,
-			BootTime: time.Minute, Recheck: 30 * time.Second, KVTransferTPS: 50000, MaxServers: 1000, VMPrefix: "cr", Spread: true},
+			BootTime: time.Minute, Recheck: 30 * time.Second, KVTransferTPS: 50000, MaxVMs: 1000, VMPrefix: "cr", Spread: true},
 	}
 }
 
@@ -67,7 +68,7 @@
 	errs.requireDuration("planner.margin", c.Planner.Margin, 0, 24*time.Hour)
 	errs.requireDuration("planner.boot", c.Planner.BootTime, 0, time.Hour)
 	errs.requireDuration("planner.recheck", c.Planner.Recheck, 50*time.Millisecond, time.Hour)
-	errs.requireInt("planner.most_servers", c.Planner.MaxServers, 0, 100_000)
+	errs.requireInt("planner.most_servers", c.Planner.MaxVMs, 0, 100_000)
 	errs.requireText("planner.vm_prefix", c.Planner.VMPrefix)
 	if c.Planner.WeightsRate <= 0 || c.Planner.KVTransferTPS < 0 {
 		errs.add("planner", "needs weights_bytes_per_second above 0 and move_tokens_per_second of at least 0")
--- a/src/settings/standin.go
+++ b/src/settings/standin.go
@@ -52,20 +52,20 @@
 	Region        string        `yaml:"region"`
 	Reclaimable   bool          `yaml:"reclaimable"`
 	HourPrice     float64       `yaml:"hour_price"`
-	ReclaimPerDay float64       `yaml:"reclaim_per_day"`
-	Boot          time.Duration `yaml:"boot"`
+	ReclaimPerDay float64       `yaml:"reclaim_per_day"` // expected number of reclaims of a VM per day
+	Boot          time.Duration `yaml:"boot"`            // boot time of the VM
 }
 
-// StandinShape configures the speed and capacity of an engine; 0 selects the
-// default.
+// StandinShape configures the speed and capacity of an engine. A field that is 0
+// has the value in standin.DefaultEngineShape.
 type StandinShape struct {
-	Slots       int     `yaml:"slots"`
-	PrefillTPS  float64 `yaml:"prefill_tps"`
-	StepMS      float64 `yaml:"step_ms"`
+	Slots       int     `yaml:"slots"`        // maximum batch size
+	PrefillTPS  float64 `yaml:"prefill_tps"`  // prompt tokens per second, all streams together
+	StepMS      float64 `yaml:"step_ms"`      // duration of a decode step with one stream, ms
 	StepPerSeq  float64 `yaml:"step_per_seq"` // ms that each further stream adds to a step
-	CacheBlocks int     `yaml:"cache_blocks"`
-	MoveTPS     float64 `yaml:"move_tps"` // KV cache transfer rate, tokens per second
-	LagMS       int     `yaml:"lag_ms"`   // age of the load report, ms
+	CacheBlocks int     `yaml:"cache_blocks"` // capacity of the prefix cache
+	MoveTPS     float64 `yaml:"move_tps"`     // KV cache transfer rate, tokens per second
+	LagMS       int     `yaml:"lag_ms"`       // age of the load report, ms
 }
 
 // StandinEngine configures a model engine.
@@ -82,7 +82,7 @@
 type StandinService struct {
 	Name          string `yaml:"name"`
 	Listen        string `yaml:"listen"`
-	ChecksFencing bool   `yaml:"checks_fencing"`
+	ChecksFencing bool   `yaml:"checks_fencing"` // reject calls with an older fencing token than the last one accepted for the key
 }
 
 // LoadStandin reads and validates a settings file of crank-standin.
--- a/src/standin/kv.go
+++ b/src/standin/kv.go
@@ -1,5 +1,6 @@
 // Package standin implements fakes of the external services that crankridge uses,
-// for tests and the demo. Each can be made to fail through /admin/faults.
+// for tests and the demo. All except the weight store can be made to fail through
+// /admin/faults.
 package standin
 
 import (
--- a/src/traffic/config.go
+++ b/src/traffic/config.go
@@ -5,7 +5,8 @@
 
 import "time"
 
-// Kind determines how often a request of a route may run.
+// Kind determines whether the requests of a route may be repeated and how they are
+// answered.
 type Kind int
 
 // The kinds of routes. A stream is treated as Once unless its route is resumable.
--- a/test/proc_test.go
+++ b/test/proc_test.go
@@ -30,6 +30,7 @@
 func cpuSeconds(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	rest := string(raw)
+	// Skip pid and comm, which may contain spaces; rest starts at index 2.
 	rest = rest[strings.LastIndexByte(rest, ')')+2:]
 	fields := strings.Fields(rest)
 	user, _ := strconv.Atoi(fields[statUserTime-2])
